--- a/include/teaselspread/edge.h
+++ b/include/teaselspread/edge.h
@@ -86,7 +86,7 @@
 // node acts on.
 using Order = std::variant<std::monostate, SnapshotPtr, MoveOrder>;
 
-enum class MoveProgress : std::uint8_t { kRunning, kDone, kTakenBack };
+enum class MoveProgress : std::uint8_t { kRunning, kDone, kRolledBack };
 
 // Stable name for logs and metrics. Thread safe.
 [[nodiscard]] std::string_view NameOf(MoveProgress progress);
@@ -146,14 +146,14 @@
 };
 
 // Makes the adapter for a loop that is about to run.
-using AdapterMaker = std::function<EdgeAdapter(boost::asio::io_context& loop,
-                                               const EdgeSettings& settings)>;
+using AdapterFactory = std::function<EdgeAdapter(boost::asio::io_context& loop,
+                                                 const EdgeSettings& settings)>;
 
 // Runs a node until it is told to stop by SIGTERM. `settings_file` is read
 // again when it changes or on SIGHUP. Errors: kSettings. Call it once in a
 // process, from its main thread.
 [[nodiscard]] Result<void> RunEdge(const std::string& settings_file,
-                                   const AdapterMaker& make_adapter);
+                                   const AdapterFactory& make_adapter);
 
 }  // namespace teaselspread
 
--- a/src/edge/config_copy.cc
+++ b/src/edge/config_copy.cc
@@ -11,12 +11,12 @@
 
 // Packs a configuration to a tenth in little more than the time that it takes
 // to copy it.
-constexpr int kLevel = 3;
+constexpr int kCompressionLevel = 3;
 // Records kept beside the newest: a node that follows is one or two behind.
-constexpr std::size_t kOlderKept = 3;
+constexpr std::size_t kOlderRecordsKept = 3;
 
-using Packer = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
-using Unpacker = std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)>;
+using Compressor = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
+using Decompressor = std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)>;
 
 }  // namespace
 
@@ -35,11 +35,12 @@
   copy.digest = DigestOf(value);
   copy.bytes = static_cast<std::uint32_t>(value.size());
   copy.packed.resize(ZSTD_compressBound(value.size()));
-  const Packer packer(ZSTD_createCCtx(), &ZSTD_freeCCtx);
-  ZSTD_CCtx_setParameter(packer.get(), ZSTD_c_compressionLevel, kLevel);
-  ZSTD_CCtx_refPrefix(packer.get(), base.data(), base.size());
+  const Compressor compressor(ZSTD_createCCtx(), &ZSTD_freeCCtx);
+  ZSTD_CCtx_setParameter(compressor.get(), ZSTD_c_compressionLevel,
+                         kCompressionLevel);
+  ZSTD_CCtx_refPrefix(compressor.get(), base.data(), base.size());
   const std::size_t size =
-      ZSTD_compress2(packer.get(), copy.packed.data(), copy.packed.size(),
+      ZSTD_compress2(compressor.get(), copy.packed.data(), copy.packed.size(),
                      value.data(), value.size());
   if (ZSTD_isError(size) != 0)
     return Fail(ErrorKind::kInternal, ZSTD_getErrorName(size));
@@ -55,10 +56,10 @@
   StoredRecord record;
   record.key = copy.key;
   record.value.resize(copy.bytes);
-  const Unpacker unpacker(ZSTD_createDCtx(), &ZSTD_freeDCtx);
-  ZSTD_DCtx_refPrefix(unpacker.get(), base.data(), base.size());
+  const Decompressor decompressor(ZSTD_createDCtx(), &ZSTD_freeDCtx);
+  ZSTD_DCtx_refPrefix(decompressor.get(), base.data(), base.size());
   const std::size_t size = ZSTD_decompressDCtx(
-      unpacker.get(), record.value.data(), record.value.size(),
+      decompressor.get(), record.value.data(), record.value.size(),
       copy.packed.data(), copy.packed.size());
   if (ZSTD_isError(size) != 0)
     return Fail(ErrorKind::kDigestMismatch, ZSTD_getErrorName(size));
@@ -68,43 +69,43 @@
 }
 
 void ConfigArchive::Add(ConfigVersion version, const StoredRecord& record) {
-  this->entries.push_back({DigestOf(record.value), version, record});
-  if (this->entries.size() > 1 + kOlderKept)
-    this->entries.pop_front();
-  this->copies.clear();
+  this->records.push_back({DigestOf(record.value), version, record});
+  if (this->records.size() > 1 + kOlderRecordsKept)
+    this->records.pop_front();
+  this->newest_copies.clear();
 }
 
 std::string_view ConfigArchive::ValueOf(std::uint64_t digest) const {
-  for (const Entry& entry : this->entries) {
-    if (entry.digest == digest)
-      return entry.record.value;
+  for (const ArchivedRecord& archived : this->records) {
+    if (archived.digest == digest)
+      return archived.record.value;
   }
   return {};
 }
 
 Result<ConfigFrame> ConfigArchive::CopyFor(std::uint64_t digest) {
-  if (this->entries.empty())
+  if (this->records.empty())
     return Fail(ErrorKind::kNotReady, "no configuration is held");
-  const Entry& newest = this->entries.back();
+  const ArchivedRecord& newest = this->records.back();
   const std::string_view base = this->ValueOf(digest);
-  if (const auto found = this->copies.find(DigestOf(base));
-      found != this->copies.end())
+  if (const auto found = this->newest_copies.find(DigestOf(base));
+      found != this->newest_copies.end())
     return found->second;
   auto copy = PackCopy(newest.version, newest.record, base);
   if (copy)
-    this->copies[copy->base] = *copy;
+    this->newest_copies[copy->base] = *copy;
   return copy;
 }
 
-Result<StoredRecord> ConfigArchive::Read(const ConfigFrame& copy) const {
+Result<StoredRecord> ConfigArchive::Unpack(const ConfigFrame& copy) const {
   const std::string_view base = this->ValueOf(copy.base);
   if (copy.base != 0 && base.empty())
     return Fail(ErrorKind::kMissingParent, "the base is no longer kept");
   return UnpackCopy(copy, base);
 }
 
-std::uint64_t ConfigArchive::Newest() const {
-  return this->entries.empty() ? 0 : this->entries.back().digest;
+std::uint64_t ConfigArchive::NewestDigest() const {
+  return this->records.empty() ? 0 : this->records.back().digest;
 }
 
 }  // namespace teaselspread
--- a/src/edge/config_copy.h
+++ b/src/edge/config_copy.h
@@ -45,13 +45,13 @@
 
   // The record in a copy that was sent to this node. Errors: those of
   // UnpackCopy; kMissingParent when its base is no longer kept.
-  [[nodiscard]] Result<StoredRecord> Read(const ConfigFrame& copy) const;
+  [[nodiscard]] Result<StoredRecord> Unpack(const ConfigFrame& copy) const;
 
   // Digest of the newest; 0 while nothing is held.
-  [[nodiscard]] std::uint64_t Newest() const;
+  [[nodiscard]] std::uint64_t NewestDigest() const;
 
  private:
-  struct Entry {
+  struct ArchivedRecord {
     std::uint64_t digest = 0;
     ConfigVersion version = 0;
     StoredRecord record;
@@ -60,9 +60,9 @@
   [[nodiscard]] std::string_view ValueOf(std::uint64_t digest) const;
 
   // Newest last.
-  std::deque<Entry> entries;
+  std::deque<ArchivedRecord> records;
   // Copies of the newest, by the digest of their base.
-  std::map<std::uint64_t, ConfigFrame> copies;
+  std::map<std::uint64_t, ConfigFrame> newest_copies;
 };
 
 }  // namespace teaselspread
--- a/src/edge/config_exchange.cc
+++ b/src/edge/config_exchange.cc
@@ -11,7 +11,7 @@
 namespace {
 
 ConfigVersion HeldVersion(const EdgeNode& node) {
-  const SnapshotPtr& held = node.entry.InForce();
+  const SnapshotPtr& held = node.entry.CurrentSnapshot();
   return held ? held->version : 0;
 }
 
@@ -40,72 +40,72 @@
   return kNames.at(static_cast<std::size_t>(event));
 }
 
-void FetchNewer(EdgeNode& node) {
-  ConfigExchange& exchange = node.exchange;
+void FetchNewerConfig(EdgeNode& node) {
+  ConfigExchange& exchange = node.config_exchange;
   const ConfigVersion held = HeldVersion(node);
   // A reader in touch has it within its own time of gathering.
-  const bool reads =
+  const bool is_reader =
       node.orders.Role() != ReaderRole::kTold && node.orders.InTouch();
-  const auto peer = NextToAsk(exchange.fetch, HoldersOf(node), held, reads,
-                              SteadyNow(), node.rng);
+  const auto peer = NextToQuery(exchange.fetch, HoldersOf(node), held,
+                                is_reader, SteadyNow(), node.rng);
   if (!peer)
     return;
-  exchange.counters.Add(CopyEvent::kAsked);
+  exchange.counters.Add(CopyEvent::kRequested);
   Log(LogLevel::kInfo, "config", "asked",
       {{"node", *peer},
        {"held", held},
        {"theirs", node.links.Find(*peer)->status.held},
-       {"whole", exchange.ask_whole ? 1 : 0}});
-  node.links.AskConfig(*peer,
-                       exchange.ask_whole ? 0 : exchange.archive.Newest());
+       {"whole", exchange.request_whole ? 1 : 0}});
+  node.links.AskConfig(
+      *peer, exchange.request_whole ? 0 : exchange.archive.NewestDigest());
 }
 
-LinkFrame AnswerAsk(EdgeNode& node,
-                    const std::string& from,
-                    std::uint64_t digest) {
-  ConfigExchange& exchange = node.exchange;
+LinkFrame RespondToConfigRequest(EdgeNode& node,
+                                 const std::string& from,
+                                 std::uint64_t digest) {
+  ConfigExchange& exchange = node.config_exchange;
   const TimePoint now = SteadyNow();
-  ForgetOldCopies(exchange.under_way, now);
+  ExpireCopies(exchange.in_flight, now);
   // Whoever asks again has lost what it was sent.
-  exchange.under_way.to.erase(from);
+  exchange.in_flight.by_node.erase(from);
   auto copy = exchange.archive.CopyFor(digest);
-  if (!copy || !MayHandOut(exchange.under_way, copy->packed.size())) {
-    exchange.counters.Add(CopyEvent::kTooManyUnderWay);
+  if (!copy || !MaySendCopy(exchange.in_flight, copy->packed.size())) {
+    exchange.counters.Add(CopyEvent::kTooManyInFlight);
     Log(LogLevel::kInfo, "config", "not-handed-out",
         {{"node", from},
          {"reason", copy ? "too-many-under-way" : NameOf(copy.error().kind)},
-         {"under_way", exchange.under_way.to.size()}});
+         {"under_way", exchange.in_flight.by_node.size()}});
     return ConfigBusy{};
   }
-  exchange.counters.Add(CopyEvent::kHandedOut);
-  exchange.under_way.to[from] = {copy->packed.size(), copy->version, now};
+  exchange.counters.Add(CopyEvent::kSent);
+  exchange.in_flight.by_node[from] = {copy->packed.size(), copy->version, now};
   Log(LogLevel::kInfo, "config", "handed-out",
       {{"node", from},
        {"version", copy->version},
        {"bytes", copy->packed.size()},
        {"whole", copy->base == 0 ? 1 : 0},
-       {"under_way", exchange.under_way.to.size()}});
+       {"under_way", exchange.in_flight.by_node.size()}});
   return std::move(*copy);
 }
 
-void TakeCopy(EdgeNode& node,
-              const std::string& from,
-              const ConfigFrame& copy) {
-  ConfigExchange& exchange = node.exchange;
+void OnConfigCopy(EdgeNode& node,
+                  const std::string& from,
+                  const ConfigFrame& copy) {
+  ConfigExchange& exchange = node.config_exchange;
   const ConfigVersion held = HeldVersion(node);
   Log(LogLevel::kInfo, "config", "received",
       {{"node", from},
        {"version", copy.version},
        {"held", held},
        {"bytes", copy.packed.size()},
-       {"after_ask_ms", Millis(SteadyNow() - exchange.fetch.asked_at)}});
-  OnFetchAnswer(exchange.fetch, from);
+       {"after_ask_ms", Millis(SteadyNow() - exchange.fetch.queried_at)}});
+  OnFetchResponse(exchange.fetch, from);
   if (copy.version <= held) {
     exchange.counters.Add(CopyEvent::kNotNeeded);
     return;
   }
-  const auto record = exchange.archive.Read(copy);
-  exchange.ask_whole = !record;
+  const auto record = exchange.archive.Unpack(copy);
+  exchange.request_whole = !record;
   if (!record) {
     exchange.counters.Add(CopyEvent::kUnreadable);
     Log(LogLevel::kWarning, "config", "copy-unreadable",
@@ -114,25 +114,27 @@
          {"message", record.error().message}});
     return;
   }
-  exchange.counters.Add(CopyEvent::kTaken);
-  TakeOrder(node, *record);
+  exchange.counters.Add(CopyEvent::kApplied);
+  ApplyOrder(node, *record);
 }
 
-void TakeBusy(EdgeNode& node, const std::string& from) {
-  OnFetchBusy(node.exchange.fetch, from, SteadyNow());
-  FetchNewer(node);
+void OnConfigBusy(EdgeNode& node, const std::string& from) {
+  OnFetchBusy(node.config_exchange.fetch, from, SteadyNow());
+  FetchNewerConfig(node);
 }
 
-void OnPeerHolds(EdgeNode& node, const std::string& peer, ConfigVersion held) {
-  OnHeld(node.exchange.under_way, peer, held);
+void OnPeerVersion(EdgeNode& node,
+                   const std::string& peer,
+                   ConfigVersion held) {
+  OnVersionHeld(node.config_exchange.in_flight, peer, held);
   if (held > HeldVersion(node))
-    FetchNewer(node);
+    FetchNewerConfig(node);
 }
 
 void OnPeerLost(EdgeNode& node, const std::string& peer) {
-  node.exchange.under_way.to.erase(peer);
-  OnFetchLost(node.exchange.fetch, peer);
-  FetchNewer(node);
+  node.config_exchange.in_flight.by_node.erase(peer);
+  OnFetchLost(node.config_exchange.fetch, peer);
+  FetchNewerConfig(node);
 }
 
 }  // namespace teaselspread
--- a/src/edge/config_exchange.h
+++ b/src/edge/config_exchange.h
@@ -16,10 +16,10 @@
 
 // How copies fare, for the metrics.
 enum class CopyEvent : std::uint8_t {
-  kAsked,
-  kHandedOut,
-  kTooManyUnderWay,
-  kTaken,
+  kRequested,
+  kSent,
+  kTooManyInFlight,
+  kApplied,
   // A copy of a version that was held by then.
   kNotNeeded,
   kUnreadable,
@@ -33,27 +33,29 @@
 struct ConfigExchange {
   ConfigArchive archive;
   FetchState fetch;
-  CopiesUnderWay under_way;
+  CopiesInFlight in_flight;
   // The last copy could not be read: the next one has to be whole.
-  bool ask_whole = false;
+  bool request_whole = false;
   CounterTable<CopyEvent> counters;
 };
 
 // Asks the best node in touch, if one holds a newer configuration and no other
 // owes an answer.
-void FetchNewer(EdgeNode& node);
+void FetchNewerConfig(EdgeNode& node);
 
 // Answer to a node that holds the record with this digest.
-[[nodiscard]] LinkFrame AnswerAsk(EdgeNode& node,
-                                  const std::string& from,
-                                  std::uint64_t digest);
+[[nodiscard]] LinkFrame RespondToConfigRequest(EdgeNode& node,
+                                               const std::string& from,
+                                               std::uint64_t digest);
 
-void TakeCopy(EdgeNode& node, const std::string& from, const ConfigFrame& copy);
+void OnConfigCopy(EdgeNode& node,
+                  const std::string& from,
+                  const ConfigFrame& copy);
 // `from` sends no copy to this node now.
-void TakeBusy(EdgeNode& node, const std::string& from);
+void OnConfigBusy(EdgeNode& node, const std::string& from);
 
 // `peer` told its status.
-void OnPeerHolds(EdgeNode& node, const std::string& peer, ConfigVersion held);
+void OnPeerVersion(EdgeNode& node, const std::string& peer, ConfigVersion held);
 void OnPeerLost(EdgeNode& node, const std::string& peer);
 
 }  // namespace teaselspread
--- a/src/edge/config_fetch.cc
+++ b/src/edge/config_fetch.cc
@@ -12,47 +12,48 @@
 // The readers of the own data centre usually have a change sooner, and bytes
 // from the store cost less than those between data centres. A configuration has
 // to be in force two seconds after its acknowledgement.
-constexpr Duration kReadersFirst = std::chrono::milliseconds(800);
+constexpr Duration kReaderHeadStart = std::chrono::milliseconds(800);
 // A node with too many copies under way has got rid of some of them by then.
-constexpr Duration kBusyPause = std::chrono::milliseconds(150);
+constexpr Duration kBusyBackoff = std::chrono::milliseconds(150);
 // Bytes of copies under way from one node: less than half a second of the
 // narrowest lines in use.
-constexpr std::size_t kBytesUnderWay = 512U << 10U;
+constexpr std::size_t kMaxBytesInFlight = 512U << 10U;
 // A copy that its receiver has not told to hold by then was lost with its link.
-constexpr Duration kCopyForgotten = std::chrono::seconds(2);
+constexpr Duration kCopyTimeout = std::chrono::seconds(2);
 
-bool Busy(const FetchState& state, std::string_view node, TimePoint now) {
+bool IsBusy(const FetchState& state, std::string_view node, TimePoint now) {
   const auto found = state.busy_until.find(node);
   return found != state.busy_until.end() && now < found->second;
 }
 
 }  // namespace
 
-std::optional<std::string> NextToAsk(FetchState& state,
-                                     std::span<const ConfigHolder> holders,
-                                     ConfigVersion held,
-                                     bool reads,
-                                     TimePoint now,
-                                     Rng& rng) {
+std::optional<std::string> NextToQuery(FetchState& state,
+                                       std::span<const ConfigHolder> holders,
+                                       ConfigVersion held,
+                                       bool is_reader,
+                                       TimePoint now,
+                                       Rng& rng) {
   const bool newer = std::any_of(
       holders.begin(), holders.end(),
       [held](const ConfigHolder& holder) { return holder.held > held; });
   if (!newer) {
-    state.newer_seen = TimePoint{};
+    state.newer_seen_at = TimePoint{};
     return std::nullopt;
   }
-  if (state.newer_seen == TimePoint{})
-    state.newer_seen = now;
-  if (!state.asked.empty())
+  if (state.newer_seen_at == TimePoint{})
+    state.newer_seen_at = now;
+  if (!state.queried.empty())
     return std::nullopt;
-  const bool patient = now - state.newer_seen < kReadersFirst;
+  const bool prefer_readers = now - state.newer_seen_at < kReaderHeadStart;
   std::vector<const ConfigHolder*> best;
   for (const ConfigHolder& holder : holders) {
-    const bool wait = patient && (reads || !holder.near);
-    if (wait || holder.held <= held || Busy(state, holder.node, now))
+    const bool wait =
+        prefer_readers && (is_reader || !holder.in_own_data_center);
+    if (wait || holder.held <= held || IsBusy(state, holder.node, now))
       continue;
-    const auto rank = [](const ConfigHolder& of) {
-      return std::pair(of.near, of.held);
+    const auto rank = [](const ConfigHolder& candidate) {
+      return std::pair(candidate.in_own_data_center, candidate.held);
     };
     if (!best.empty() && rank(*best.front()) < rank(holder))
       best.clear();
@@ -62,48 +63,48 @@
   if (best.empty())
     return std::nullopt;
   std::uniform_int_distribution<std::size_t> pick(0, best.size() - 1);
-  state.asked = best.at(pick(rng))->node;
-  state.asked_at = now;
-  return state.asked;
+  state.queried = best.at(pick(rng))->node;
+  state.queried_at = now;
+  return state.queried;
 }
 
-void OnFetchAnswer(FetchState& state, const std::string& node) {
-  if (state.asked == node)
-    state.asked.clear();
+void OnFetchResponse(FetchState& state, const std::string& node) {
+  if (state.queried == node)
+    state.queried.clear();
   state.busy_until.erase(node);
 }
 
 void OnFetchBusy(FetchState& state, const std::string& node, TimePoint now) {
-  if (state.asked != node)
+  if (state.queried != node)
     return;
-  state.asked.clear();
-  state.busy_until[node] = now + kBusyPause;
+  state.queried.clear();
+  state.busy_until[node] = now + kBusyBackoff;
 }
 
 void OnFetchLost(FetchState& state, const std::string& node) {
-  if (state.asked == node)
-    state.asked.clear();
+  if (state.queried == node)
+    state.queried.clear();
   state.busy_until.erase(node);
 }
 
-bool MayHandOut(const CopiesUnderWay& copies, std::size_t bytes) {
-  std::size_t under_way = 0;
-  for (const auto& [node, copy] : copies.to)
-    under_way += copy.bytes;
-  return under_way == 0 || under_way + bytes <= kBytesUnderWay;
+bool MaySendCopy(const CopiesInFlight& copies, std::size_t bytes) {
+  std::size_t bytes_in_flight = 0;
+  for (const auto& [node, copy] : copies.by_node)
+    bytes_in_flight += copy.bytes;
+  return bytes_in_flight == 0 || bytes_in_flight + bytes <= kMaxBytesInFlight;
 }
 
-void OnHeld(CopiesUnderWay& copies,
-            const std::string& node,
-            ConfigVersion held) {
-  const auto found = copies.to.find(node);
-  if (found != copies.to.end() && held >= found->second.version)
-    copies.to.erase(found);
+void OnVersionHeld(CopiesInFlight& copies,
+                   const std::string& node,
+                   ConfigVersion held) {
+  const auto found = copies.by_node.find(node);
+  if (found != copies.by_node.end() && held >= found->second.version)
+    copies.by_node.erase(found);
 }
 
-void ForgetOldCopies(CopiesUnderWay& copies, TimePoint now) {
-  std::erase_if(copies.to, [now](const auto& entry) {
-    return now - entry.second.since > kCopyForgotten;
+void ExpireCopies(CopiesInFlight& copies, TimePoint now) {
+  std::erase_if(copies.by_node, [now](const auto& entry) {
+    return now - entry.second.sent_at > kCopyTimeout;
   });
 }
 
--- a/src/edge/config_fetch.h
+++ b/src/edge/config_fetch.h
@@ -26,17 +26,17 @@
   std::string_view node;
   ConfigVersion held = 0;
   // Of the own data centre.
-  bool near = false;
+  bool in_own_data_center = false;
 };
 
 struct FetchState {
   // The node that owes an answer; empty when none does.
-  std::string asked;
+  std::string queried;
   // For the log.
-  TimePoint asked_at;
+  TimePoint queried_at;
   // When somebody was first seen to hold a newer one; the epoch while nobody
   // does.
-  TimePoint newer_seen;
+  TimePoint newer_seen_at;
   // Until when nodes that had too many copies under way are left alone.
   std::map<std::string, TimePoint, std::less<>> busy_until;
 };
@@ -44,16 +44,16 @@
 // The node to ask now, which then owes an answer; none when this node has to
 // wait, or nobody holds more than `held`. `reads`: this node reads the
 // operators' stream and may expect to have it from there.
-[[nodiscard]] std::optional<std::string> NextToAsk(
+[[nodiscard]] std::optional<std::string> NextToQuery(
     FetchState& state,
     std::span<const ConfigHolder> holders,
     ConfigVersion held,
-    bool reads,
+    bool is_reader,
     TimePoint now,
     Rng& rng);
 
 // `node` answered. Other nodes may be asked from now on.
-void OnFetchAnswer(FetchState& state, const std::string& node);
+void OnFetchResponse(FetchState& state, const std::string& node);
 
 // `node` sends no copy now, if it still owes one: it has too many under way, or
 // passed the question over.
@@ -66,25 +66,25 @@
 //
 // All of them share one line. Some at a time get through it sooner than all at
 // once, and whoever has one can hand it on.
-struct CopiesUnderWay {
+struct CopiesInFlight {
   struct Copy {
     std::size_t bytes = 0;
     ConfigVersion version = 0;
-    TimePoint since;
+    TimePoint sent_at;
   };
-  std::map<std::string, Copy> to;
+  std::map<std::string, Copy> by_node;
 };
 
 // Whether a copy of `bytes` may be handed out now.
-[[nodiscard]] bool MayHandOut(const CopiesUnderWay& copies, std::size_t bytes);
+[[nodiscard]] bool MaySendCopy(const CopiesInFlight& copies, std::size_t bytes);
 
 // `node` tells that it holds `held`.
-void OnHeld(CopiesUnderWay& copies,
-            const std::string& node,
-            ConfigVersion held);
+void OnVersionHeld(CopiesInFlight& copies,
+                   const std::string& node,
+                   ConfigVersion held);
 
 // Forgets copies that must have come or been lost by now.
-void ForgetOldCopies(CopiesUnderWay& copies, TimePoint now);
+void ExpireCopies(CopiesInFlight& copies, TimePoint now);
 
 }  // namespace teaselspread
 
--- a/src/edge/edge_node.cc
+++ b/src/edge/edge_node.cc
@@ -26,7 +26,7 @@
 constexpr Duration kStopReserve = std::chrono::milliseconds(700);
 // An upstream that has said nothing is asked for this long after the start; one
 // that starts later tells by itself.
-constexpr Duration kProbeTime = std::chrono::milliseconds(1000);
+constexpr Duration kProbeWindow = std::chrono::milliseconds(1000);
 // Remote runs have numbers of their own at the gate.
 constexpr std::uint64_t kRemoteRunBit = std::uint64_t{1} << 63U;
 
@@ -64,7 +64,7 @@
   node.versions.SetReady(ready);
 }
 
-std::vector<std::string> NodesInTouch(const EdgeNode& node) {
+std::vector<std::string> ConnectedNodes(const EdgeNode& node) {
   std::vector<std::string> nodes;
   for (const auto& [name, peer] : node.links.Peers()) {
     if (peer.connected)
@@ -73,27 +73,27 @@
   return nodes;
 }
 
-void TakeNotes(EdgeNode& node, const Peer& peer) {
+void ApplyPeerNotes(EdgeNode& node, const Peer& peer) {
   node.versions.TakeNotes(peer.node, peer.status.moves);
   if (!peer.status.suspects.empty())
-    node.gate.TakeSuspectNotes(peer.status.suspects);
+    node.gate.MergeSuspectNotes(peer.status.suspects);
   TakeShortage(node.entry.shortage, peer.node, peer.status.shortages,
                peer.status.calls);
 }
 
 void StepMoves(EdgeNode& node) {
-  const std::vector<std::string> nodes = NodesInTouch(node);
+  const std::vector<std::string> nodes = ConnectedNodes(node);
   node.versions.Step(nodes);
   const auto rank = std::count_if(
       nodes.begin(), nodes.end(),
       [&node](const std::string& name) { return name < node.settings.vm; });
   node.reporter.Step(static_cast<std::size_t>(rank));
-  node.notes = node.versions.Notes();
-  TellStatus(node);
+  node.trial_notes = node.versions.Notes();
+  SendStatus(node);
 }
 
-void OnRun(EdgeNode& node, FrameSocket* from, RunFrame frame) {
-  const std::uint64_t id = kRemoteRunBit | ++node.next_remote_run;
+void OnRemoteRun(EdgeNode& node, FrameSocket* from, RunFrame frame) {
+  const std::uint64_t id = kRemoteRunBit | ++node.last_remote_run;
   const std::uint64_t call = frame.call;
   node.remote_runs[id] = {from, call};
   node.gate.Run(id, std::move(frame), [&node, id, from](ResultFrame result) {
@@ -106,10 +106,10 @@
     result.load = {now.running, now.waiting, now.queued_ms};
     node.links.SendResult(from, result);
   });
-  TellStatus(node);
+  SendStatus(node);
 }
 
-void OnCancel(EdgeNode& node, FrameSocket* from, std::uint64_t call) {
+void OnRemoteCancel(EdgeNode& node, FrameSocket* from, std::uint64_t call) {
   for (auto run = node.remote_runs.begin(); run != node.remote_runs.end();
        ++run) {
     if (run->second.from != from || run->second.call != call)
@@ -121,7 +121,7 @@
   }
 }
 
-void OnCallerGone(EdgeNode& node, FrameSocket* from) {
+void OnRemoteCallerGone(EdgeNode& node, FrameSocket* from) {
   std::vector<std::uint64_t> gone;
   for (const auto& [id, run] : node.remote_runs) {
     if (run.from == from)
@@ -146,12 +146,14 @@
 LinkHandlers LinkHandlersOf(EdgeNode& node) {
   LinkHandlers on;
   on.on_run = [&node](FrameSocket* from, RunFrame frame) {
-    OnRun(node, from, std::move(frame));
+    OnRemoteRun(node, from, std::move(frame));
   };
   on.on_cancel = [&node](FrameSocket* from, std::uint64_t call) {
-    OnCancel(node, from, call);
+    OnRemoteCancel(node, from, call);
+  };
+  on.on_caller_gone = [&node](FrameSocket* from) {
+    OnRemoteCallerGone(node, from);
   };
-  on.on_caller_gone = [&node](FrameSocket* from) { OnCallerGone(node, from); };
   on.on_result = [&node](const std::string&, ResultFrame result) {
     node.entry.OnResult(std::move(result));
   };
@@ -159,7 +161,7 @@
     RefreshVersions(node);
     node.versions.ForgetNode(name);
     ForgetShortage(node.entry.shortage, name);
-    node.entry.OnLost(name);
+    node.entry.OnLinkLost(name);
     ChooseReaderRole(node);
     OnPeerLost(node, name);
   };
@@ -167,31 +169,32 @@
     if (upstream_changed)
       RefreshVersions(node);
     if (const Peer* peer = node.links.Find(name)) {
-      TakeNotes(node, *peer);
-      OnPeerHolds(node, name, peer->status.held);
+      ApplyPeerNotes(node, *peer);
+      OnPeerVersion(node, name, peer->status.held);
     }
   };
   on.on_hello = [&node](const Hello& hello) { node.links.Add(hello); };
   on.on_config_ask = [&node](const std::string& peer, std::uint64_t digest) {
-    return AnswerAsk(node, peer, digest);
+    return RespondToConfigRequest(node, peer, digest);
   };
   on.on_config_busy = [&node](const std::string& peer) {
-    TakeBusy(node, peer);
+    OnConfigBusy(node, peer);
   };
   on.on_config = [&node](const std::string& peer, const ConfigFrame& copy) {
-    TakeCopy(node, peer, copy);
+    OnConfigCopy(node, peer, copy);
   };
   return on;
 }
 
 void OnReadiness(EdgeNode& node, const ExchangePtr& exchange) {
-  const bool asked = PathOf(exchange->request) == node.adapter.readiness_path;
-  const bool ready = node.entry.InForce() != nullptr && !node.stopping;
+  const bool path_matches =
+      PathOf(exchange->request) == node.adapter.readiness_path;
+  const bool ready = node.entry.CurrentSnapshot() != nullptr && !node.stopping;
   constexpr int kOk = 200;
   constexpr int kNotFound = 404;
   constexpr int kUnavailable = 503;
   const int status = ready ? kOk : kUnavailable;
-  Answer(*exchange, StatusOnly(asked ? status : kNotFound));
+  Answer(*exchange, StatusOnly(path_matches ? status : kNotFound));
 }
 
 void OnAdmin(EdgeNode& node, const ExchangePtr& exchange) {
@@ -205,14 +208,14 @@
     return;
   }
   if (const auto* leave = std::get_if<LeaveCall>(&*call)) {
-    const bool known = node.gate.LeaveUpstream(*leave);
+    const bool known = node.gate.OnUpstreamLeaving(*leave);
     Log(LogLevel::kInfo, "admin", "upstream-leaves",
         {{"instance", leave->instance}, {"known", known ? 1 : 0}});
     Answer(*exchange, node.adapter.acknowledge());
     return;
   }
   const auto& report = std::get<UpstreamReport>(*call);
-  const ReportVerdict verdict = node.gate.Report(report);
+  const ReportVerdict verdict = node.gate.OnHeartbeat(report);
   node.heartbeats.Add(verdict);
   if (verdict != ReportVerdict::kTaken) {
     Log(LogLevel::kWarning, "admin", "heartbeat-not-taken",
@@ -236,7 +239,7 @@
   Answer(*exchange, response);
 }
 
-std::int64_t ChangedAt(const std::string& file) {
+std::int64_t ModifiedAtNanos(const std::string& file) {
   struct stat entry {};
   if (::stat(file.c_str(), &entry) != 0)
     return 0;
@@ -245,7 +248,7 @@
 }
 
 void ProbeUpstream(EdgeNode& node) {
-  const SnapshotPtr& held = node.entry.InForce();
+  const SnapshotPtr& held = node.entry.CurrentSnapshot();
   if (!held || node.stopping)
     return;
   const auto service = held->services.find(node.settings.service);
@@ -254,7 +257,7 @@
 }
 
 void ReloadSettings(EdgeNode& node, const char* why) {
-  node.settings_changed_ns = ChangedAt(node.settings_file);
+  node.settings_modified_ns = ModifiedAtNanos(node.settings_file);
   auto settings = LoadEdgeSettings(node.settings_file);
   if (!settings) {
     Log(LogLevel::kError, "node", "reload-refused",
@@ -266,7 +269,7 @@
   node.settings.service = settings->service;
   node.settings.upstream = settings->upstream;
   node.entry.SetService(settings->service);
-  node.gate.SetAddress(settings->upstream);
+  node.gate.SetUpstreamAddress(settings->upstream);
   Log(LogLevel::kInfo, "node", "reloaded",
       {{"why", why}, {"service", settings->service}});
 }
@@ -277,13 +280,13 @@
   if (node.stopping)
     return;
   node.stopping = true;
-  node.stop_at = SteadyNow();
+  node.stop_began = SteadyNow();
   Log(LogLevel::kInfo, "node", "stopping",
-      {{"open", node.entry.CountOpen()},
+      {{"open", node.entry.CountPending()},
        {"running", node.gate.CountRunning()}});
   node.gate.LeaveNode();
   node.outbound.CloseAfterAnswers();
-  TellStatus(node);
+  SendStatus(node);
 }
 
 // Some callers may have nowhere else to go and would keep coming until the
@@ -300,8 +303,8 @@
 }
 
 // True when the process may end.
-bool StepStop(EdgeNode& node, TimePoint now) {
-  const Duration passed = now - node.stop_at;
+bool AdvanceStop(EdgeNode& node, TimePoint now) {
+  const Duration passed = now - node.stop_began;
   if (passed < kStopNotice)
     return false;
   CloseIntake(node);
@@ -323,20 +326,20 @@
 }
 
 void Tick(EdgeNode& node) {
-  node.tick.expires_after(kTickInterval);
-  node.tick.async_wait([&node](boost::system::error_code error) {
+  node.tick_timer.expires_after(kTickInterval);
+  node.tick_timer.async_wait([&node](boost::system::error_code error) {
     if (error)
       return;
     node.gate.Tick();
-    if (SteadyNow() - node.started < kProbeTime)
+    if (SteadyNow() - node.started < kProbeWindow)
       ProbeUpstream(node);
     RefreshVersions(node);
     ChooseReaderRole(node);
     StepMoves(node);
-    FetchNewer(node);
-    if (ChangedAt(node.settings_file) != node.settings_changed_ns)
+    FetchNewerConfig(node);
+    if (ModifiedAtNanos(node.settings_file) != node.settings_modified_ns)
       ReloadSettings(node, "file");
-    if (node.stopping && StepStop(node, SteadyNow())) {
+    if (node.stopping && AdvanceStop(node, SteadyNow())) {
       node.loop.stop();
       return;
     }
@@ -369,7 +372,7 @@
 Result<void> Run(EdgeNode& node) {
   if (auto listening = ListenAll(node); !listening)
     return listening;
-  node.gate.SetAddress(node.settings.upstream);
+  node.gate.SetUpstreamAddress(node.settings.upstream);
   const std::string& vm = node.settings.vm;
   const auto life =
       static_cast<std::uint64_t>(SystemNow().time_since_epoch().count());
@@ -377,12 +380,12 @@
   node.gate.SetOrigin(XXH3_64bits_withSeed(vm.data(), vm.size(), life));
   // The version of an upstream may have become known with the change: until the
   // choice of versions knows it too, the upstream fits no request.
-  node.gate.on_change = [&node] {
+  node.gate.on_status_change = [&node] {
     RefreshVersions(node);
-    TellStatus(node);
+    SendStatus(node);
   };
   node.started = SteadyNow();
-  node.settings_changed_ns = ChangedAt(node.settings_file);
+  node.settings_modified_ns = ModifiedAtNanos(node.settings_file);
   WaitForSignals(node);
   Log(LogLevel::kInfo, "node", "started",
       {{"outbound", ToString(node.settings.outbound)},
@@ -401,15 +404,16 @@
 
 }  // namespace
 
-EdgeNode::EdgeNode(const EdgeSettings& from, const AdapterMaker& make_adapter)
-    : settings(from),
+EdgeNode::EdgeNode(const EdgeSettings& edge_settings,
+                   const AdapterFactory& make_adapter)
+    : settings(edge_settings),
       loop(1),
       adapter(make_adapter(this->loop, this->settings)),
       log(this->loop),
-      gate(this->loop, this->adapter.headers, LeaseSettingsOf(from)),
+      gate(this->loop, this->adapter.headers, LeaseSettingsOf(edge_settings)),
       links(this->loop, LinkHandlersOf(*this)),
       entry(this->loop,
-            EntrySettingsOf(from),
+            EntrySettingsOf(edge_settings),
             this->adapter.headers,
             this->gate,
             this->links,
@@ -417,11 +421,12 @@
       orders(this->loop,
              this->adapter.store,
              RecordStream::kOrders,
-             [this](const StoredRecord& record) { TakeOrder(*this, record); }),
+             [this](const StoredRecord& record) { ApplyOrder(*this, record); }),
       reporter(this->adapter, this->versions),
-      outbound(
-          this->loop,
-          [this](const ExchangePtr& exchange) { this->entry.Take(exchange); }),
+      outbound(this->loop,
+               [this](const ExchangePtr& exchange) {
+                 this->entry.HandleRequest(exchange);
+               }),
       readiness(this->loop,
                 [this](const ExchangePtr& exchange) {
                   OnReadiness(*this, exchange);
@@ -432,29 +437,30 @@
           this->loop,
           [this](const ExchangePtr& exchange) { OnMetrics(*this, exchange); }),
       signals(this->loop, SIGTERM, SIGINT, SIGHUP),
-      tick(this->loop),
+      tick_timer(this->loop),
       roster_timer(this->loop),
       rng(std::random_device{}()) {
   this->adapter.apply_agreed(this->settings);
-  this->gate.SetWaiting(from.waiting);
-  this->links.self.node = from.vm;
-  this->links.self.data_center = from.data_center;
-  this->links.self.line_mbit = static_cast<std::uint32_t>(from.line_mbit);
+  this->gate.SetWaitingSettings(edge_settings.waiting);
+  this->links.self.node = edge_settings.vm;
+  this->links.self.data_center = edge_settings.data_center;
+  this->links.self.line_mbit =
+      static_cast<std::uint32_t>(edge_settings.line_mbit);
 }
 
-void TellStatus(EdgeNode& node) {
+void SendStatus(EdgeNode& node) {
   GateStatus status = node.gate.Status();
-  const SnapshotPtr& held = node.entry.InForce();
+  const SnapshotPtr& held = node.entry.CurrentSnapshot();
   status.held = held ? held->version : 0;
   status.store_lost = node.stopping || !node.orders.InTouch();
-  status.moves = node.notes;
+  status.moves = node.trial_notes;
   status.suspects = node.gate.SuspectNotes();
   status.shortages = ShortageNotes(node.entry.shortage, SteadyNow());
   status.calls = CallNotes(node.entry.shortage);
   node.links.SetStatus(status);
 }
 
-void TakeOrder(EdgeNode& node, const StoredRecord& record) {
+void ApplyOrder(EdgeNode& node, const StoredRecord& record) {
   const auto order = node.adapter.decode_order(record);
   if (!order) {
     Log(LogLevel::kWarning, "orders", "record-refused",
@@ -468,15 +474,15 @@
   const auto* snapshot = std::get_if<SnapshotPtr>(&*order);
   if (snapshot == nullptr)
     return;
-  const SnapshotPtr& held = node.entry.InForce();
+  const SnapshotPtr& held = node.entry.CurrentSnapshot();
   const ConfigVersion own = held ? held->version : 0;
   if ((*snapshot)->version <= own)
     return;
   const LimitsConfig& limits = (*snapshot)->limits;
   node.outbound.limits = {limits.max_header_bytes, limits.max_body_bytes,
                           limits.header_timeout, limits.idle_timeout};
-  node.exchange.archive.Add((*snapshot)->version, record);
-  node.exchange.fetch.newer_seen = TimePoint{};
+  node.config_exchange.archive.Add((*snapshot)->version, record);
+  node.config_exchange.fetch.newer_seen_at = TimePoint{};
   node.entry.SetSnapshot(*snapshot);
   Log(LogLevel::kInfo, "config", "in-force",
       {{"version", (*snapshot)->version},
@@ -484,11 +490,11 @@
        {"routes", (*snapshot)->routes.size()},
        {"bytes", record.value.size()}});
   ProbeUpstream(node);
-  TellStatus(node);
+  SendStatus(node);
 }
 
 Result<void> RunEdge(const std::string& settings_file,
-                     const AdapterMaker& make_adapter) {
+                     const AdapterFactory& make_adapter) {
   const auto settings = LoadEdgeSettings(settings_file);
   if (!settings)
     return tl::make_unexpected(settings.error());
--- a/src/edge/edge_node.h
+++ b/src/edge/edge_node.h
@@ -32,7 +32,8 @@
 
 // Belongs to the thread in RunEdge.
 struct EdgeNode {
-  EdgeNode(const EdgeSettings& from, const AdapterMaker& make_adapter);
+  EdgeNode(const EdgeSettings& edge_settings,
+           const AdapterFactory& make_adapter);
 
   EdgeSettings settings;
   std::string settings_file;
@@ -50,19 +51,19 @@
   HttpListener admin;
   HttpListener metrics;
   boost::asio::signal_set signals;
-  boost::asio::steady_timer tick;
+  boost::asio::steady_timer tick_timer;
   boost::asio::steady_timer roster_timer;
   // Runs that other nodes asked for, by their number at the gate.
   std::map<std::uint64_t, RemoteRun> remote_runs;
-  std::uint64_t next_remote_run = 0;
-  ConfigExchange exchange;
+  std::uint64_t last_remote_run = 0;
+  ConfigExchange config_exchange;
   // Told to the others with the status; refreshed with each tick.
-  std::vector<TrialNote> notes;
+  std::vector<TrialNote> trial_notes;
   bool intake_closed = false;
   bool stopping = false;
-  TimePoint stop_at;
+  TimePoint stop_began;
   TimePoint started;
-  std::int64_t settings_changed_ns = 0;
+  std::int64_t settings_modified_ns = 0;
   CounterTable<ReportVerdict> heartbeats;
   Rng rng;
 };
@@ -72,10 +73,10 @@
 
 // Takes in an order of the operators, from the store or from a peer. A
 // configuration that is not newer than the one in force is ignored.
-void TakeOrder(EdgeNode& node, const StoredRecord& record);
+void ApplyOrder(EdgeNode& node, const StoredRecord& record);
 
 // Tells every node the present status, if it changed.
-void TellStatus(EdgeNode& node);
+void SendStatus(EdgeNode& node);
 
 // Finds the other nodes through the store, and makes this one known there.
 void StartRoster(EdgeNode& node);
--- a/src/edge/edge_settings.cc
+++ b/src/edge/edge_settings.cc
@@ -8,15 +8,15 @@
 using Key = SettingsKey;
 
 // In seconds.
-constexpr double kLeastHeartbeat = 0.05;
-constexpr double kMostHeartbeat = 60;
+constexpr double kMinHeartbeatSeconds = 0.05;
+constexpr double kMaxHeartbeatSeconds = 60;
 // In Mbit/s.
-constexpr double kMostLine = 1e6;
+constexpr double kMaxLineMbit = 1e6;
 // Of weights and exponents; 0 switches off what a weight stands for.
-constexpr double kMostWeight = 100;
+constexpr double kMaxWeight = 100;
 
 Key WeightKey(std::string_view name, double& target) {
-  return NumberKey(name, 0, kMostWeight, target);
+  return NumberKey(name, 0, kMaxWeight, target);
 }
 
 std::vector<Key> KeysOf(PlacementSettings& placement) {
@@ -44,8 +44,8 @@
           AddressKey("link", kRequired, settings.link),
           AddressKey("upstream", kRequired, settings.upstream),
           AddressKey("store", kRequired, settings.store),
-          NumberKey("line_mbit", 0, kMostLine, settings.line_mbit),
-          DurationKey("heartbeat", kLeastHeartbeat, kMostHeartbeat,
+          NumberKey("line_mbit", 0, kMaxLineMbit, settings.line_mbit),
+          DurationKey("heartbeat", kMinHeartbeatSeconds, kMaxHeartbeatSeconds,
                       settings.heartbeat),
           MapKey("placement", kOptional, KeysOf(settings.placement)),
           MapKey("waiting", kOptional, KeysOf(settings.waiting)),
--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -18,28 +18,28 @@
 constexpr std::int64_t kMicrosPerMilli = 1000;
 // After a route's time the answer of the upstream itself is given this long to
 // come; it says more than an answer of this node.
-constexpr Duration kAnswerSlack = std::chrono::milliseconds(80);
+constexpr Duration kResponseGrace = std::chrono::milliseconds(80);
 // Gates may refuse one request this often before its caller is told to come
 // back: each refusal costs a way and says that the service is full.
-constexpr int kMostRefusals = 3;
+constexpr int kMaxRefusals = 3;
 // Least time in which an upstream may still answer a request.
-constexpr Duration kLeastTime = std::chrono::milliseconds(10);
+constexpr Duration kMinAttemptTime = std::chrono::milliseconds(10);
 // Bytes of an answer on a route that gave none yet, and of the headers of both
 // ways.
-constexpr double kUnknownAnswerBytes = 3000;
+constexpr double kDefaultResponseBytes = 3000;
 constexpr std::size_t kHeaderBytes = 500;
 // Weight of the newest request in the usual size.
-constexpr double kNewestSize = 0.01;
+constexpr double kNewestSizeWeight = 0.01;
 constexpr int kFirstServerError = 500;
 
-std::optional<Duration> DeadlineIn(std::string_view text) {
+std::optional<Duration> ParseDeadline(std::string_view text) {
   std::int64_t millis = 0;
   const auto [end, error] =
       std::from_chars(text.data(), text.data() + text.size(), millis);
   if (error != std::errc{} || end != text.data() + text.size() || millis < 0)
     return std::nullopt;
-  constexpr std::int64_t kMostMillis = 24LL * 3600 * 1000;
-  return std::chrono::milliseconds(std::min(millis, kMostMillis));
+  constexpr std::int64_t kMaxMillis = 24LL * 3600 * 1000;
+  return std::chrono::milliseconds(std::min(millis, kMaxMillis));
 }
 
 // Which candidates are looked at first. With nothing else to try, a version
@@ -66,22 +66,22 @@
       versions(version_choice),
       rng(std::random_device{}()) {}
 
-void Entry::SetSnapshot(SnapshotPtr now) {
-  this->snapshot = std::move(now);
+void Entry::SetSnapshot(SnapshotPtr new_snapshot) {
+  this->snapshot = std::move(new_snapshot);
   std::set<std::string_view> routes;
   for (const RouteConfig& route : this->snapshot->routes)
     routes.insert(route.name);
   KeepRoutes(this->shortage, routes);
   this->gate.KeepRoutes(routes);
-  std::erase_if(this->deadlines, [&routes](const auto& row) {
+  std::erase_if(this->deadline_histories, [&routes](const auto& row) {
     return !routes.contains(row.first);
   });
 }
 
-void Entry::Take(const ExchangePtr& exchange) {
+void Entry::HandleRequest(const ExchangePtr& exchange) {
   ++this->counters.requests;
   if (!this->snapshot) {
-    this->RefuseAtOnce(exchange, ErrorKind::kNotReady);
+    this->RefuseImmediately(exchange, ErrorKind::kNotReady);
     return;
   }
   const HttpRequest& request = exchange->request;
@@ -89,15 +89,15 @@
       MatchRoute(*this->snapshot, FindHeader(request.headers, "Host"),
                  request.method, PathOf(request));
   if (route == nullptr) {
-    this->RefuseAtOnce(exchange, ErrorKind::kNoRoute);
+    this->RefuseImmediately(exchange, ErrorKind::kNoRoute);
     return;
   }
   if (FindHeader(request.headers, kHeaderRequestId).empty()) {
-    this->RefuseAtOnce(exchange, ErrorKind::kBadRequest);
+    this->RefuseImmediately(exchange, ErrorKind::kBadRequest);
     return;
   }
   const std::uint64_t id = this->next_id++;
-  Pending pending;
+  PendingRequest pending;
   pending.exchange = exchange;
   pending.snapshot = this->snapshot;
   pending.route = route;
@@ -114,56 +114,58 @@
   }
   this->SetTimes(pending);
   pending.timer = std::make_unique<boost::asio::steady_timer>(this->loop);
-  pending.timer->expires_after(pending.deadline - SteadyNow() + kAnswerSlack);
+  pending.timer->expires_after(pending.deadline - SteadyNow() + kResponseGrace);
   pending.timer->async_wait([this, id](boost::system::error_code error) {
     if (!error)
       this->OnDeadline(id);
   });
-  exchange->on_gone = [this, id] { this->OnGone(id); };
+  exchange->on_gone = [this, id] { this->OnCallerDisconnected(id); };
   OnFirstAttempt(this->BudgetOf(pending.service));
   if (pending.nested)
     RecordCall(this->shortage, std::string(calling_route), pending.service);
-  const auto added = this->open.emplace(id, std::move(pending)).first;
+  const auto added =
+      this->pending_requests.emplace(id, std::move(pending)).first;
   if (!this->ShedForDependency(id, added->second))
     this->Attempt(id);
 }
 
-void Entry::SetTimes(Pending& pending) {
+void Entry::SetTimes(PendingRequest& pending) {
   const HttpHeaders& headers = pending.exchange->request.headers;
   const RouteConfig& route = *pending.route;
   Duration allowed = route.deadline;
-  const auto asked = DeadlineIn(FindHeader(headers, this->names.deadline));
-  if (asked)
-    allowed = std::min(allowed, *asked);
+  const auto requested =
+      ParseDeadline(FindHeader(headers, this->names.deadline));
+  if (requested)
+    allowed = std::min(allowed, *requested);
   pending.deadline = pending.exchange->arrived + allowed;
-  if (!asked || pending.nested)
+  if (!requested || pending.nested)
     return;
-  DeadlineHistory& history = this->deadlines[route.name];
-  pending.spent = TimeSpent(history, *asked);
-  RecordDeadline(history, *asked);
+  DeadlineHistory& history = this->deadline_histories[route.name];
+  pending.spent = TimeSpent(history, *requested);
+  RecordDeadline(history, *requested);
 }
 
-std::optional<TimePoint> Entry::AimOf(const Pending& pending) {
+std::optional<TimePoint> Entry::AimOf(const PendingRequest& pending) {
   if (pending.route->aim <= Duration{0})
     return std::nullopt;
   return pending.exchange->arrived + pending.route->aim - pending.spent;
 }
 
-bool Entry::ShedForDependency(std::uint64_t id, Pending& pending) {
+bool Entry::ShedForDependency(std::uint64_t id, PendingRequest& pending) {
   if (pending.nested)
     return false;
-  const double share = ShareToShed(this->shortage, pending.route->name,
-                                   pending.route->priority, SteadyNow());
+  const double shed_ratio = ShareToShed(this->shortage, pending.route->name,
+                                        pending.route->priority, SteadyNow());
   std::uniform_real_distribution<double> draw(0, 1);
-  if (share <= 0 || draw(this->rng) >= share)
+  if (shed_ratio <= 0 || draw(this->rng) >= shed_ratio)
     return false;
-  pending.short_of_room = share;
-  this->GiveError(id, ErrorKind::kDependencyFull, kEntryRetryAfter);
+  pending.shed_ratio = shed_ratio;
+  this->SendError(id, ErrorKind::kDependencyFull, kEntryRetryAfter);
   return true;
 }
 
 RetryBudget& Entry::BudgetOf(const std::string& service) {
-  const auto [found, added] = this->budgets.try_emplace(service);
+  const auto [found, added] = this->retry_budgets.try_emplace(service);
   RetryBudget& budget = found->second;
   // Nodes spend without talking to each other: each has its part of what all
   // together may spend, with a margin for windows that cut a burst in two.
@@ -177,7 +179,7 @@
   return budget;
 }
 
-std::vector<Candidate> Entry::CandidatesFor(Pending& pending) {
+std::vector<Candidate> Entry::CandidatesFor(PendingRequest& pending) {
   std::vector<Candidate> candidates;
   int best = std::numeric_limits<int>::max();
   const TimePoint now = SteadyNow();
@@ -193,7 +195,7 @@
     candidate.mean_time = std::chrono::milliseconds(status.mean_ms);
     candidate.waiting = status.waiting;
     candidate.queued = std::chrono::milliseconds(status.queued_ms);
-    candidate.failure_share = this->FailureShare(std::string(node), now);
+    candidate.failure_share = this->FailureRatio(std::string(node), now);
     candidates.push_back(candidate);
   };
   // Keeps those of the best rank only.
@@ -222,60 +224,62 @@
         !fits(name, peer.status, Links::LinkInDoubt(peer, now)))
       continue;
     const bool near = peer.data_center == this->settings.data_center;
-    const std::uint32_t told =
+    const std::uint32_t reported_load =
         peer.status.running + peer.status.waiting + peer.sent_since;
     add(name, near ? Distance::kOwnDataCenter : Distance::kOtherDataCenter,
-        peer.status, std::max(told, peer.in_flight));
+        peer.status, std::max(reported_load, peer.in_flight));
   }
   return candidates;
 }
 
 void Entry::Attempt(std::uint64_t id) {
-  const auto found = this->open.find(id);
-  if (found == this->open.end())
+  const auto found = this->pending_requests.find(id);
+  if (found == this->pending_requests.end())
     return;
-  Pending& pending = found->second;
+  PendingRequest& pending = found->second;
   if (!pending.has_picked) {
     pending.picked = this->versions.Pick(pending.service);
     pending.has_picked = true;
   }
   const auto candidates = this->CandidatesFor(pending);
   const std::size_t chosen = Place(this->settings.placement, candidates,
-                                   this->Placed(pending), this->rng);
+                                   this->PlacedRequestOf(pending), this->rng);
   if (chosen == candidates.size()) {
-    if (pending.has_answer) {
-      this->GiveAnswer(id, std::move(pending.answer));
+    if (pending.has_response) {
+      this->SendResponse(id, std::move(pending.response));
       return;
     }
-    this->GiveError(id, pending.last_error,
+    this->SendError(id, pending.last_error,
                     std::max(pending.retry_after, kEntryRetryAfter));
     return;
   }
   this->SendTo(id, pending, candidates[chosen]);
 }
 
-PlacedRequest Entry::Placed(const Pending& pending) {
+PlacedRequest Entry::PlacedRequestOf(const PendingRequest& pending) {
   PlacedRequest placed;
-  placed.bytes = this->BytesOf(pending);
+  placed.bytes = this->TransferBytes(pending);
   const auto bytes = static_cast<double>(placed.bytes);
-  if (this->usual_bytes == 0)
-    this->usual_bytes = bytes;
-  this->usual_bytes += kNewestSize * (bytes - this->usual_bytes);
-  placed.usual_bytes = this->usual_bytes;
+  if (this->mean_transfer_bytes == 0)
+    this->mean_transfer_bytes = bytes;
+  this->mean_transfer_bytes +=
+      kNewestSizeWeight * (bytes - this->mean_transfer_bytes);
+  placed.usual_bytes = this->mean_transfer_bytes;
   const TimePoint now = SteadyNow();
   const std::optional<TimePoint> aim = AimOf(pending);
   const TimePoint due = aim && *aim > now ? *aim : pending.deadline;
-  placed.aim = std::max(due - now, kLeastTime);
+  placed.aim = std::max(due - now, kMinAttemptTime);
   placed.goes_first = pending.nested;
   return placed;
 }
 
-std::size_t Entry::BytesOf(const Pending& pending) const {
-  const auto known = this->answer_bytes.find(pending.route->name);
-  const double answer =
-      known == this->answer_bytes.end() ? kUnknownAnswerBytes : known->second;
+std::size_t Entry::TransferBytes(const PendingRequest& pending) const {
+  const auto known = this->mean_response_bytes.find(pending.route->name);
+  const double response_bytes = known == this->mean_response_bytes.end()
+                                    ? kDefaultResponseBytes
+                                    : known->second;
   return pending.exchange->request.body.size() + kHeaderBytes +
-         static_cast<std::size_t>(answer);
+         static_cast<std::size_t>(response_bytes);
 }
 
 const std::string& Entry::InstanceOf(const std::string& node) const {
@@ -294,7 +298,7 @@
   return peer == nullptr ? unknown : peer->status.version;
 }
 
-RunFrame Entry::FrameOf(std::uint64_t id, const Pending& pending) {
+RunFrame Entry::FrameOf(std::uint64_t id, const PendingRequest& pending) {
   RunFrame frame;
   frame.call = id;
   frame.route = pending.route->name;
@@ -324,24 +328,24 @@
 }
 
 void Entry::SendTo(std::uint64_t id,
-                   Pending& pending,
+                   PendingRequest& pending,
                    const Candidate& chosen) {
   pending.node = std::string(chosen.node);
   pending.version = this->VersionOf(chosen);
   pending.at_own_gate = chosen.distance == Distance::kOwnVm;
-  pending.under_way = true;
-  pending.sent = SteadyNow();
+  pending.in_flight = true;
+  pending.sent_at = SteadyNow();
   RunFrame frame = this->FrameOf(id, pending);
   if (pending.at_own_gate) {
     this->gate.Run(id, std::move(frame), [this](ResultFrame result) {
       const std::uint64_t call = result.call;
-      this->Settle(call, std::move(result));
+      this->HandleResult(call, std::move(result));
     });
     return;
   }
   frame.instance = this->InstanceOf(pending.node);
   if (!this->links.Run(pending.node, frame)) {
-    pending.under_way = false;
+    pending.in_flight = false;
     pending.tried.push_back(pending.node);
     pending.last_error = ErrorKind::kPeerUnreachable;
     this->Attempt(id);
@@ -350,89 +354,92 @@
 
 void Entry::OnResult(ResultFrame result) {
   const std::uint64_t id = result.call;
-  this->Settle(id, std::move(result));
+  this->HandleResult(id, std::move(result));
 }
 
-void Entry::Settle(std::uint64_t id, ResultFrame result) {
-  const auto found = this->open.find(id);
-  if (found == this->open.end() || !found->second.under_way)
+void Entry::HandleResult(std::uint64_t id, ResultFrame result) {
+  const auto found = this->pending_requests.find(id);
+  if (found == this->pending_requests.end() || !found->second.in_flight)
     return;
-  Pending& pending = found->second;
-  pending.under_way = false;
-  pending.ran = Duration(result.took_us);
+  PendingRequest& pending = found->second;
+  pending.in_flight = false;
+  pending.run_time = Duration(result.took_us);
   if (result.answered) {
-    this->TakeAnswer(id, pending, std::move(result));
+    this->HandleResponse(id, pending, std::move(result));
   } else if (result.execution == Execution::kNotRun) {
-    this->TakeRefusal(id, pending, result);
+    this->HandleRefusal(id, pending, result);
   } else {
-    this->TakeFailure(id, pending, result);
+    this->HandleFailure(id, pending, result);
   }
 }
 
-void Entry::TakeAnswer(std::uint64_t id, Pending& pending, ResultFrame result) {
+void Entry::HandleResponse(std::uint64_t id,
+                           PendingRequest& pending,
+                           ResultFrame result) {
   const bool failed = result.response.status >= kFirstServerError;
-  this->Learn(pending.node, failed);
-  this->Tell(pending, failed, Duration(result.took_us));
+  this->RecordOutcome(pending.node, failed);
+  this->ReportOutcome(pending, failed, Duration(result.took_us));
   ++pending.attempts;
   pending.may_have_run = true;
-  if (failed && this->MayRepeat(pending, ErrorKind::kUpstreamFailed, false)) {
-    pending.has_answer = true;
-    pending.answer = std::move(result.response);
+  if (failed && this->MayRetry(pending, ErrorKind::kUpstreamFailed, false)) {
+    pending.has_response = true;
+    pending.response = std::move(result.response);
     this->Attempt(id);
     return;
   }
-  this->GiveAnswer(id, std::move(result.response));
+  this->SendResponse(id, std::move(result.response));
 }
 
 // Nothing ran. A gate's refusal never reached the upstream, so trying another
 // costs no budget; a refusal of the upstream itself was an arrival there.
-void Entry::TakeRefusal(std::uint64_t id,
-                        Pending& pending,
-                        ResultFrame& result) {
+void Entry::HandleRefusal(std::uint64_t id,
+                          PendingRequest& pending,
+                          ResultFrame& result) {
   pending.tried.push_back(pending.node);
   pending.last_error = result.error;
   pending.retry_after = std::chrono::milliseconds(result.retry_after_ms);
   ++pending.refusals;
-  const bool arrived = result.error == ErrorKind::kUpstreamShed;
-  if (arrived) {
+  const bool reached_upstream = result.error == ErrorKind::kUpstreamShed;
+  if (reached_upstream) {
     ++pending.attempts;
-    this->Learn(pending.node, true);
+    this->RecordOutcome(pending.node, true);
   }
-  const bool time_left = pending.deadline - SteadyNow() > kLeastTime;
-  const bool again = arrived ? this->MayRepeat(pending, result.error, true)
-                             : pending.refusals < kMostRefusals && time_left;
-  if (again) {
+  const bool time_left = pending.deadline - SteadyNow() > kMinAttemptTime;
+  const bool may_retry = reached_upstream
+                             ? this->MayRetry(pending, result.error, true)
+                             : pending.refusals < kMaxRefusals && time_left;
+  if (may_retry) {
     this->Attempt(id);
     return;
   }
-  if (pending.has_answer) {
-    this->GiveAnswer(id, std::move(pending.answer));
+  if (pending.has_response) {
+    this->SendResponse(id, std::move(pending.response));
     return;
   }
-  this->GiveError(id, result.error, pending.retry_after);
+  this->SendError(id, result.error, pending.retry_after);
 }
 
-void Entry::TakeFailure(std::uint64_t id,
-                        Pending& pending,
-                        ResultFrame& result) {
-  this->Learn(pending.node, true);
-  this->Tell(pending, true, Duration(result.took_us));
+void Entry::HandleFailure(std::uint64_t id,
+                          PendingRequest& pending,
+                          ResultFrame& result) {
+  this->RecordOutcome(pending.node, true);
+  this->ReportOutcome(pending, true, Duration(result.took_us));
   pending.tried.push_back(pending.node);
   pending.last_error = result.error;
   ++pending.attempts;
   pending.may_have_run = true;
-  if (this->MayRepeat(pending, result.error, false)) {
+  if (this->MayRetry(pending, result.error, false)) {
     this->Attempt(id);
     return;
   }
-  if (pending.has_answer) {
-    this->GiveAnswer(id, std::move(pending.answer));
+  if (pending.has_response) {
+    this->SendResponse(id, std::move(pending.response));
     return;
   }
-  this->GiveError(id, result.error, kEntryRetryAfter);
+  this->SendError(id, result.error, kEntryRetryAfter);
 }
 
-bool Entry::MayRepeat(Pending& pending, ErrorKind kind, bool not_run) {
+bool Entry::MayRetry(PendingRequest& pending, ErrorKind kind, bool not_run) {
   if (pending.attempts >= pending.route->most_attempts)
     return false;
   if (std::find(pending.tried.begin(), pending.tried.end(), pending.node) ==
@@ -448,18 +455,18 @@
   pending.picked = this->versions.Pick(pending.service);
   failed.other_upstream = !this->CandidatesFor(pending).empty();
   failed.deadline = pending.deadline;
-  failed.attempt_time = kLeastTime;
+  failed.attempt_time = kMinAttemptTime;
   RetryBudget& budget = this->BudgetOf(pending.service);
   const RetryReason reason = DecideRetry(budget, failed, SteadyNow());
   this->counters.retries.Add(reason);
-  pending.retry = reason;
+  pending.retry_reason = reason;
   return IsRetry(reason);
 }
 
-void Entry::OnLost(const std::string& node) {
+void Entry::OnLinkLost(const std::string& node) {
   std::vector<std::uint64_t> lost;
-  for (const auto& [id, pending] : this->open) {
-    if (pending.under_way && !pending.at_own_gate && pending.node == node)
+  for (const auto& [id, pending] : this->pending_requests) {
+    if (pending.in_flight && !pending.at_own_gate && pending.node == node)
       lost.push_back(id);
   }
   for (const std::uint64_t id : lost) {
@@ -467,42 +474,42 @@
     result.call = id;
     result.error = ErrorKind::kPeerUnreachable;
     result.execution = Execution::kUnknown;
-    this->Settle(id, std::move(result));
+    this->HandleResult(id, std::move(result));
   }
 }
 
 void Entry::OnDeadline(std::uint64_t id) {
-  const auto found = this->open.find(id);
-  if (found == this->open.end())
+  const auto found = this->pending_requests.find(id);
+  if (found == this->pending_requests.end())
     return;
-  Pending& pending = found->second;
-  if (pending.under_way) {
+  PendingRequest& pending = found->second;
+  if (pending.in_flight) {
     if (pending.at_own_gate)
       this->gate.Cancel(id);
     else
       this->links.Cancel(pending.node, id);
-    this->Learn(pending.node, true);
-    this->Tell(pending, true, SteadyNow() - pending.sent);
+    this->RecordOutcome(pending.node, true);
+    this->ReportOutcome(pending, true, SteadyNow() - pending.sent_at);
   }
-  this->GiveError(id, ErrorKind::kTimeout, kEntryRetryAfter);
+  this->SendError(id, ErrorKind::kTimeout, kEntryRetryAfter);
 }
 
 // What may be repeated is stopped: nobody waits for it. What may not goes on,
 // since cutting it off would leave it half done.
-void Entry::OnGone(std::uint64_t id) {
-  const auto found = this->open.find(id);
-  if (found == this->open.end())
+void Entry::OnCallerDisconnected(std::uint64_t id) {
+  const auto found = this->pending_requests.find(id);
+  if (found == this->pending_requests.end())
     return;
-  Pending& pending = found->second;
+  PendingRequest& pending = found->second;
   ++this->counters.callers_left;
-  if (pending.under_way) {
+  if (pending.in_flight) {
     if (pending.at_own_gate)
       this->gate.Cancel(id);
     else
       this->links.Cancel(pending.node, id);
   }
   this->LogDecision(pending, "caller-left", ErrorKind::kCancelled, 0);
-  this->open.erase(found);
+  this->pending_requests.erase(found);
 }
 
 }  // namespace teaselspread
--- a/src/edge/entry.h
+++ b/src/edge/entry.h
@@ -38,7 +38,7 @@
 inline constexpr Duration kEntryRetryAfter = std::chrono::milliseconds(100);
 
 // One request of a caller until its final answer.
-struct Pending {
+struct PendingRequest {
   ExchangePtr exchange;
   SnapshotPtr snapshot;
   const RouteConfig* route = nullptr;
@@ -56,36 +56,36 @@
   // Version of the upstream there, as it was known when the request was sent.
   std::string version;
   bool at_own_gate = false;
-  bool under_way = false;
-  TimePoint sent;
+  bool in_flight = false;
+  TimePoint sent_at;
   // Time at the upstream that answered last, as its gate measured it.
-  Duration ran{};
+  Duration run_time{};
   // Nodes that refused it or failed.
   std::vector<std::string> tried;
   // Upstreams that it was sent to, or may have been.
   int attempts = 0;
   int refusals = 0;
   // Why it was or was not sent once more; none before the first failure.
-  std::optional<RetryReason> retry;
+  std::optional<RetryReason> retry_reason;
   // Ready upstreams of its service that were passed over for their version when
   // it was placed last.
   int other_versions = 0;
   // When it was turned away because a service that it would call is short of
   // room: the share of such requests that was turned away.
-  double short_of_room = 0;
+  double shed_ratio = 0;
   // Some upstream may have run it.
   bool may_have_run = false;
   ErrorKind last_error = ErrorKind::kNoUpstream;
   Duration retry_after{};
   // A failure that an upstream gave, kept in case no other does better.
-  bool has_answer = false;
-  HttpResponse answer;
+  bool has_response = false;
+  HttpResponse response;
 };
 
 // How upstreams answered this node's requests lately.
-struct NodeRecord {
-  double failure_share = 0;
-  TimePoint failed_at;
+struct NodeHealth {
+  double failure_ratio = 0;
+  TimePoint updated_at;
 };
 
 struct EntryCounters {
@@ -118,58 +118,74 @@
   Entry& operator=(const Entry&) = delete;
 
   // In force for every request that is taken from now on.
-  void SetSnapshot(SnapshotPtr now);
-  [[nodiscard]] const SnapshotPtr& InForce() const { return this->snapshot; }
+  void SetSnapshot(SnapshotPtr new_snapshot);
+  [[nodiscard]] const SnapshotPtr& CurrentSnapshot() const {
+    return this->snapshot;
+  }
 
   void SetService(std::string service) {
     this->settings.service = std::move(service);
   }
 
-  void Take(const ExchangePtr& exchange);
+  void HandleRequest(const ExchangePtr& exchange);
 
   // The result of a call over a link.
   void OnResult(ResultFrame result);
   // The link to `node` is gone.
-  void OnLost(const std::string& node);
+  void OnLinkLost(const std::string& node);
 
-  [[nodiscard]] std::size_t CountOpen() const { return this->open.size(); }
+  [[nodiscard]] std::size_t CountPending() const {
+    return this->pending_requests.size();
+  }
 
   EntryCounters counters;
   std::map<std::string, LatencyHistogram> latency_by_route;
   ShortageTable shortage;
 
  private:
-  void SetTimes(Pending& pending);
+  void SetTimes(PendingRequest& pending);
   // When its answer starts to be worth less; none for routes without an aim.
-  [[nodiscard]] static std::optional<TimePoint> AimOf(const Pending& pending);
+  [[nodiscard]] static std::optional<TimePoint> AimOf(
+      const PendingRequest& pending);
   void Attempt(std::uint64_t id);
   // True when the request was turned away for what it would call.
-  bool ShedForDependency(std::uint64_t id, Pending& pending);
-  void SendTo(std::uint64_t id, Pending& pending, const Candidate& chosen);
-  void Settle(std::uint64_t id, ResultFrame result);
-  void TakeAnswer(std::uint64_t id, Pending& pending, ResultFrame result);
-  void TakeRefusal(std::uint64_t id, Pending& pending, ResultFrame& result);
-  void TakeFailure(std::uint64_t id, Pending& pending, ResultFrame& result);
-  bool MayRepeat(Pending& pending, ErrorKind kind, bool not_run);
+  bool ShedForDependency(std::uint64_t id, PendingRequest& pending);
+  void SendTo(std::uint64_t id,
+              PendingRequest& pending,
+              const Candidate& chosen);
+  void HandleResult(std::uint64_t id, ResultFrame result);
+  void HandleResponse(std::uint64_t id,
+                      PendingRequest& pending,
+                      ResultFrame result);
+  void HandleRefusal(std::uint64_t id,
+                     PendingRequest& pending,
+                     ResultFrame& result);
+  void HandleFailure(std::uint64_t id,
+                     PendingRequest& pending,
+                     ResultFrame& result);
+  bool MayRetry(PendingRequest& pending, ErrorKind kind, bool not_run);
   void OnDeadline(std::uint64_t id);
-  void OnGone(std::uint64_t id);
-  void GiveAnswer(std::uint64_t id, HttpResponse response);
-  void GiveError(std::uint64_t id, ErrorKind kind, Duration retry_after);
-  void RefuseAtOnce(const ExchangePtr& exchange, ErrorKind kind);
-  [[nodiscard]] std::vector<Candidate> CandidatesFor(Pending& pending);
-  [[nodiscard]] RunFrame FrameOf(std::uint64_t id, const Pending& pending);
+  void OnCallerDisconnected(std::uint64_t id);
+  void SendResponse(std::uint64_t id, HttpResponse response);
+  void SendError(std::uint64_t id, ErrorKind kind, Duration retry_after);
+  void RefuseImmediately(const ExchangePtr& exchange, ErrorKind kind);
+  [[nodiscard]] std::vector<Candidate> CandidatesFor(PendingRequest& pending);
+  [[nodiscard]] RunFrame FrameOf(std::uint64_t id,
+                                 const PendingRequest& pending);
   [[nodiscard]] const std::string& InstanceOf(const std::string& node) const;
   [[nodiscard]] const std::string& VersionOf(const Candidate& chosen) const;
   // What an attempt at the pending node's upstream tells of its version.
-  void Tell(const Pending& pending, bool bad, Duration took);
-  void Learn(const std::string& node, bool failed);
-  [[nodiscard]] PlacedRequest Placed(const Pending& pending);
+  void ReportOutcome(const PendingRequest& pending,
+                     bool failed,
+                     Duration run_time);
+  void RecordOutcome(const std::string& node, bool failed);
+  [[nodiscard]] PlacedRequest PlacedRequestOf(const PendingRequest& pending);
   // Bytes that a request and its answer put on the way to another gate.
-  [[nodiscard]] std::size_t BytesOf(const Pending& pending) const;
-  [[nodiscard]] double FailureShare(const std::string& node, TimePoint now);
+  [[nodiscard]] std::size_t TransferBytes(const PendingRequest& pending) const;
+  [[nodiscard]] double FailureRatio(const std::string& node, TimePoint now);
   [[nodiscard]] RetryBudget& BudgetOf(const std::string& service);
-  void NoteDemand(const Pending& pending, bool refused);
-  void LogDecision(const Pending& pending,
+  void CountDemand(const PendingRequest& pending, bool refused);
+  void LogDecision(const PendingRequest& pending,
                    std::string_view outcome,
                    ErrorKind kind,
                    int status);
@@ -181,16 +197,16 @@
   Links& links;
   VersionChoice& versions;
   SnapshotPtr snapshot;
-  std::unordered_map<std::uint64_t, Pending> open;
+  std::unordered_map<std::uint64_t, PendingRequest> pending_requests;
   std::uint64_t next_id = 1;
   std::map<std::string, WeightedTurns> turns;
-  std::map<std::string, DeadlineHistory> deadlines;
+  std::map<std::string, DeadlineHistory> deadline_histories;
   // Moving average of the bytes of an answer, by route.
-  std::map<std::string, double> answer_bytes;
+  std::map<std::string, double> mean_response_bytes;
   // Moving average of the bytes that placed requests and their answers take.
-  double usual_bytes = 0;
-  std::map<std::string, NodeRecord> records;
-  std::map<std::string, RetryBudget> budgets;
+  double mean_transfer_bytes = 0;
+  std::map<std::string, NodeHealth> node_health;
+  std::map<std::string, RetryBudget> retry_budgets;
   Rng rng;
 };
 
--- a/src/edge/entry_answers.cc
+++ b/src/edge/entry_answers.cc
@@ -18,88 +18,89 @@
 constexpr double kPercent = 100;
 // Failures fade with this time constant, so that an upstream which was bad is
 // tried again.
-constexpr double kFailureFadeSeconds = 3.0;
-constexpr double kNewestShare = 0.15;
+constexpr double kFailureDecaySeconds = 3.0;
+constexpr double kNewestOutcomeWeight = 0.15;
 // Weight of the newest answer in the mean bytes of a route's answers.
-constexpr double kNewestAnswer = 0.1;
+constexpr double kNewestResponseWeight = 0.1;
 
-std::string SecondsText(Duration span) {
+std::string FormatSeconds(Duration span) {
   return absl::StrFormat("%.3f",
                          static_cast<double>(span.count()) / kMicrosPerSecond);
 }
 
 // The service had no room for the request in time.
-bool IsWantOfRoom(ErrorKind kind) {
+bool IsCapacityRefusal(ErrorKind kind) {
   return kind == ErrorKind::kDeadlineTooShort ||
          kind == ErrorKind::kQueueFull || kind == ErrorKind::kQueueTimeout;
 }
 
-HttpResponse ErrorWith(ErrorKind kind, Duration retry_after) {
+HttpResponse MakeErrorResponse(ErrorKind kind, Duration retry_after) {
   HttpResponse response = ErrorResponse(Error{kind, std::string(NameOf(kind))});
   if (AnswerOf(kind).retry_after)
-    SetHeader(response.headers, kHeaderRetryAfter, SecondsText(retry_after));
+    SetHeader(response.headers, kHeaderRetryAfter, FormatSeconds(retry_after));
   return response;
 }
 
 }  // namespace
 
-void Entry::GiveAnswer(std::uint64_t id, HttpResponse response) {
-  const auto found = this->open.find(id);
-  Pending& pending = found->second;
+void Entry::SendResponse(std::uint64_t id, HttpResponse response) {
+  const auto found = this->pending_requests.find(id);
+  PendingRequest& pending = found->second;
   ++this->counters.answered;
   const auto bytes = static_cast<double>(response.body.size());
   double& mean =
-      this->answer_bytes.try_emplace(pending.route->name, bytes).first->second;
-  mean += kNewestAnswer * (bytes - mean);
+      this->mean_response_bytes.try_emplace(pending.route->name, bytes)
+          .first->second;
+  mean += kNewestResponseWeight * (bytes - mean);
   Count(this->latency_by_route[pending.route->name],
         SteadyNow() - pending.exchange->arrived);
   RemoveHopHeaders(response.headers);
-  this->NoteDemand(pending, false);
+  this->CountDemand(pending, false);
   this->LogDecision(pending, "answered", ErrorKind::kInternal, response.status);
   const ExchangePtr exchange = pending.exchange;
-  this->open.erase(found);
+  this->pending_requests.erase(found);
   Answer(*exchange, response);
 }
 
 // `kind` says "not run" for most refusals, which must be true of every attempt:
 // once one may have run, the answer promises nothing.
-void Entry::GiveError(std::uint64_t id, ErrorKind kind, Duration retry_after) {
-  const auto found = this->open.find(id);
-  Pending& pending = found->second;
-  const bool promises = AnswerOf(kind).execution == Execution::kNotRun;
-  if (promises && pending.may_have_run)
+void Entry::SendError(std::uint64_t id, ErrorKind kind, Duration retry_after) {
+  const auto found = this->pending_requests.find(id);
+  PendingRequest& pending = found->second;
+  const bool claims_not_run = AnswerOf(kind).execution == Execution::kNotRun;
+  if (claims_not_run && pending.may_have_run)
     kind = ErrorKind::kOutcomeUnknown;
   if (kind == ErrorKind::kPeerUnreachable && pending.may_have_run)
     kind = ErrorKind::kOutcomeUnknown;
   const Duration spread = SpreadRetryAfter(retry_after, this->rng);
-  HttpResponse response = ErrorWith(kind, spread);
+  HttpResponse response = MakeErrorResponse(kind, spread);
   const HttpRequest& request = pending.exchange->request;
   SetHeader(response.headers, kHeaderRequestId,
             FindHeader(request.headers, kHeaderRequestId));
   this->counters.refusals.Add(kind);
-  this->NoteDemand(pending, IsWantOfRoom(kind));
+  this->CountDemand(pending, IsCapacityRefusal(kind));
   this->LogDecision(pending, "refused", kind, response.status);
   const ExchangePtr exchange = pending.exchange;
-  this->open.erase(found);
+  this->pending_requests.erase(found);
   Answer(*exchange, response);
 }
 
 // Calls of running requests are left out: they go before all others, so they
 // tell nothing of the room that is left.
-void Entry::NoteDemand(const Pending& pending, bool refused) {
-  if (pending.nested || pending.short_of_room > 0)
+void Entry::CountDemand(const PendingRequest& pending, bool refused) {
+  if (pending.nested || pending.shed_ratio > 0)
     return;
   RecordDemand(this->shortage, pending.service, pending.route->priority,
                refused, SteadyNow());
 }
 
-void Entry::RefuseAtOnce(const ExchangePtr& exchange, ErrorKind kind) {
+void Entry::RefuseImmediately(const ExchangePtr& exchange, ErrorKind kind) {
   this->counters.refusals.Add(kind);
   const HttpRequest& request = exchange->request;
   const std::string_view request_id =
       FindHeader(request.headers, kHeaderRequestId);
   HttpResponse response =
-      ErrorWith(kind, SpreadRetryAfter(kEntryRetryAfter, this->rng));
+      MakeErrorResponse(kind, SpreadRetryAfter(kEntryRetryAfter, this->rng));
   if (!request_id.empty())
     SetHeader(response.headers, kHeaderRequestId, request_id);
   Log(LogLevel::kInfo, "requests", "refused",
@@ -111,38 +112,41 @@
   Answer(*exchange, response);
 }
 
-void Entry::Tell(const Pending& pending, bool bad, Duration took) {
+void Entry::ReportOutcome(const PendingRequest& pending,
+                          bool failed,
+                          Duration run_time) {
   const Peer* peer = this->links.Find(pending.node);
   const GateStatus own = this->gate.Status();
   const GateStatus& seen = peer == nullptr ? own : peer->status;
-  TrialAnswer answer;
-  answer.instance = seen.instance;
-  answer.route = pending.route->name;
-  answer.bad = bad;
-  answer.timed = seen.warm_up_ms == 0;
-  answer.took = took;
-  this->versions.OnAnswer(pending.service, pending.version, answer);
+  TrialAnswer trial_answer;
+  trial_answer.instance = seen.instance;
+  trial_answer.route = pending.route->name;
+  trial_answer.bad = failed;
+  trial_answer.timed = seen.warm_up_ms == 0;
+  trial_answer.took = run_time;
+  this->versions.OnAnswer(pending.service, pending.version, trial_answer);
 }
 
-void Entry::Learn(const std::string& node, bool failed) {
-  NodeRecord& record = this->records[node];
+void Entry::RecordOutcome(const std::string& node, bool failed) {
+  NodeHealth& record = this->node_health[node];
   const TimePoint now = SteadyNow();
-  record.failure_share = this->FailureShare(node, now);
-  record.failure_share +=
-      kNewestShare * ((failed ? 1.0 : 0.0) - record.failure_share);
-  record.failed_at = now;
+  record.failure_ratio = this->FailureRatio(node, now);
+  record.failure_ratio +=
+      kNewestOutcomeWeight * ((failed ? 1.0 : 0.0) - record.failure_ratio);
+  record.updated_at = now;
 }
 
-double Entry::FailureShare(const std::string& node, TimePoint now) {
-  const auto found = this->records.find(node);
-  if (found == this->records.end())
+double Entry::FailureRatio(const std::string& node, TimePoint now) {
+  const auto found = this->node_health.find(node);
+  if (found == this->node_health.end())
     return 0;
-  const Duration age = now - found->second.failed_at;
+  const Duration age = now - found->second.updated_at;
   const double seconds = static_cast<double>(age.count()) / kMicrosPerSecond;
-  return found->second.failure_share * std::exp(-seconds / kFailureFadeSeconds);
+  return found->second.failure_ratio *
+         std::exp(-seconds / kFailureDecaySeconds);
 }
 
-void Entry::LogDecision(const Pending& pending,
+void Entry::LogDecision(const PendingRequest& pending,
                         std::string_view outcome,
                         ErrorKind kind,
                         int status) {
@@ -168,10 +172,10 @@
        {"spent_ms", pending.spent.count() / kMicrosPerMilli},
        {"attempts", pending.attempts},
        {"refusals", pending.refusals},
-       {"retry", pending.retry ? NameOf(*pending.retry) : ""},
+       {"retry", pending.retry_reason ? NameOf(*pending.retry_reason) : ""},
        {"other_versions", pending.other_versions},
-       {"shed_percent", std::lround(pending.short_of_room * kPercent)},
-       {"ran_ms", pending.ran.count() / kMicrosPerMilli},
+       {"shed_percent", std::lround(pending.shed_ratio * kPercent)},
+       {"ran_ms", pending.run_time.count() / kMicrosPerMilli},
        {"took_ms", age.count() / kMicrosPerMilli}});
 }
 
--- a/src/edge/frames.cc
+++ b/src/edge/frames.cc
@@ -26,7 +26,7 @@
 void Fields(C& codec, FieldsOf<C, TrialNote> value) {
   codec(value.service, value.to, value.reported, value.moved, value.age_ms);
   codec(value.duration_ms, value.life, value.cells);
-  codec.Enum(value.progress, MoveProgress::kTakenBack);
+  codec.Enum(value.progress, MoveProgress::kRolledBack);
 }
 template <class C>
 void Fields(C& codec, FieldsOf<C, SuspectNote> value) {
--- a/src/edge/gate.cc
+++ b/src/edge/gate.cc
@@ -18,28 +18,28 @@
 
 // The upstream gives its own answer at the deadline that it was told; this is
 // how much later the connection is closed instead of waiting on.
-constexpr Duration kDeadlineSlack = std::chrono::milliseconds(60);
+constexpr Duration kDeadlineGrace = std::chrono::milliseconds(60);
 // Idle connections to the upstream are used again within this time. Upstreams
 // close them after some seconds, and a request that crosses the close may or
 // may not have run.
-constexpr Duration kReuseWithin = std::chrono::seconds(8);
-constexpr Duration kReuseWithinOnce = std::chrono::seconds(4);
+constexpr Duration kMaxIdleForReuse = std::chrono::seconds(8);
+constexpr Duration kMaxIdleForReuseNonIdempotent = std::chrono::seconds(4);
 // Least Retry-After of a refusal; callers wait a third of what they have left
 // at most, so half a second would mean "never" to many.
-constexpr Duration kLeastRetryAfter = std::chrono::milliseconds(80);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(80);
 constexpr std::uint32_t kWarmUpStepMs = 500;
 // Connections of a crashed upstream break together, and the next one to it is
 // refused within this time.
-constexpr Duration kCrashSeenWithin = std::chrono::milliseconds(1000);
+constexpr Duration kCrashWindow = std::chrono::milliseconds(1000);
 // A connection that broke makes the node look whether the upstream is still
 // there, this often at most: each look costs the upstream a connection.
-constexpr Duration kCheckEvery = std::chrono::milliseconds(250);
+constexpr Duration kMinCheckInterval = std::chrono::milliseconds(250);
 // Crashes after which a request is refused. A crash blames all that ran at the
 // upstream; those that are innocent run clean elsewhere and are cleared, so
 // three in a row without a clean run point at the request itself.
-constexpr std::uint32_t kMostCrashes = 3;
+constexpr std::uint32_t kMaxCrashes = 3;
 // Rows told to other nodes at most.
-constexpr std::size_t kMostSuspectNotes = 64;
+constexpr std::size_t kMaxSuspectNotes = 64;
 constexpr int kFirstSuccess = 200;
 constexpr int kFirstRedirect = 300;
 constexpr int kHttpMisdirected = 421;
@@ -89,12 +89,12 @@
     : pool(io),
       loop(io),
       names(header_names),
-      expiry(io),
+      expiry_timer(io),
       rng(std::random_device{}()) {
   this->lease.settings = lease_settings;
-  this->keeper.settings.retry_after = kLeastRetryAfter;
-  this->keeper.ready = false;
-  this->suspects.settings.most_crashes = kMostCrashes;
+  this->gatekeeper.settings.retry_after = kMinRetryAfter;
+  this->gatekeeper.ready = false;
+  this->suspects.settings.most_crashes = kMaxCrashes;
 }
 
 void Gate::Run(std::uint64_t id, RunFrame frame, ResultHandler done) {
@@ -113,8 +113,8 @@
   run.frame = std::move(frame);
   run.fingerprint =
       FingerprintOfRun(run.frame.request, this->names.caller_service);
-  const bool crashes = teaselspread::StateOf(this->suspects, run.fingerprint,
-                                             now) == SuspectState::kRefused;
+  const bool is_suspect = teaselspread::StateOf(this->suspects, run.fingerprint,
+                                                now) == SuspectState::kRefused;
   const bool wrong_instance =
       !run.frame.instance.empty() && this->lease.current &&
       run.frame.instance != this->lease.current->instance;
@@ -123,15 +123,15 @@
   if (wrong_instance || state != LeaseState::kReady) {
     const ErrorKind kind =
         wrong_instance ? ErrorKind::kNotReady : RefusalOf(state);
-    this->Refuse(id, {id, kind, kLeastRetryAfter});
+    this->Refuse(id, {id, kind, kMinRetryAfter});
     return;
   }
-  if (crashes) {
-    this->keeper.refusals.Add(ErrorKind::kCrashSuspect);
-    this->Refuse(id, {id, ErrorKind::kCrashSuspect, kLeastRetryAfter});
+  if (is_suspect) {
+    this->gatekeeper.refusals.Add(ErrorKind::kCrashSuspect);
+    this->Refuse(id, {id, ErrorKind::kCrashSuspect, kMinRetryAfter});
     return;
   }
-  const Arrived arrived = Arrive(this->keeper, arrival, now, this->rng);
+  const Arrived arrived = Arrive(this->gatekeeper, arrival, now, this->rng);
   if (arrived.evicted)
     this->Refuse(arrived.evicted->id, *arrived.evicted);
   if (arrived.refusal) {
@@ -149,8 +149,8 @@
   const TimePoint now = SteadyNow();
   if (found == this->runs.end()) {
     // Its caller left between the decision and now; the slot is free again.
-    this->Apply(teaselspread::Finish(this->keeper, id, Duration{0}, false, now,
-                                     this->rng));
+    this->Apply(teaselspread::Finish(this->gatekeeper, id, Duration{0}, false,
+                                     now, this->rng));
     return;
   }
   GateRun& run = found->second;
@@ -162,15 +162,16 @@
   SetHeader(request.headers, this->names.expected_instance,
             this->lease.current->instance);
   const std::string request_id(FindHeader(request.headers, kHeaderRequestId));
-  const Duration reuse = run.frame.idempotent ? kReuseWithin : kReuseWithinOnce;
-  this->running_ids.insert_or_assign(request_id, run.frame.route);
+  const Duration max_idle =
+      run.frame.idempotent ? kMaxIdleForReuse : kMaxIdleForReuseNonIdempotent;
+  this->running_routes.insert_or_assign(request_id, run.frame.route);
   run.timer = std::make_unique<boost::asio::steady_timer>(this->loop);
-  run.timer->expires_after(left + kDeadlineSlack);
+  run.timer->expires_after(left + kDeadlineGrace);
   run.timer->async_wait([this, id](boost::system::error_code error) {
     if (!error)
       this->OnDeadline(id);
   });
-  run.call = this->pool.Call(request, request_id, reuse,
+  run.call = this->pool.Call(request, request_id, max_idle,
                              [this, id](CallResult result) {
                                this->OnCallEnd(id, std::move(result));
                              });
@@ -202,7 +203,7 @@
         FindHeader(result.response.headers, this->names.signature).empty();
     frame.response = std::move(result.response);
     if (wrong_process) {
-      this->LoseUpstream("another-process-answered");
+      this->MarkUpstreamLost("another-process-answered");
     } else {
       OnUpstreamAnswer(this->lease, now);
     }
@@ -210,7 +211,7 @@
       frame.answered = false;
       frame.error = ErrorKind::kUpstreamShed;
       frame.execution = Execution::kNotRun;
-      frame.retry_after_ms = MillisOf(kLeastRetryAfter);
+      frame.retry_after_ms = MillisOf(kMinRetryAfter);
       frame.response = {};
     } else if (unsigned_success) {
       frame.answered = false;
@@ -219,12 +220,12 @@
       frame.response = {};
     } else {
       counts = true;
-      this->NoteClean(run);
+      this->RecordCleanRun(run);
     }
   } else if (result.error == ErrorKind::kConnectFailed) {
-    this->LoseUpstream("no-connection");
+    this->MarkUpstreamLost("no-connection");
   } else {
-    this->NoteBroken(run);
+    this->RecordBrokenConnection(run);
   }
   this->Finish(id, counts, frame);
 }
@@ -249,10 +250,11 @@
   const Duration took = now - found->second.started;
   const ResultHandler done = std::move(found->second.done);
   const HttpHeaders& headers = found->second.frame.request.headers;
-  this->running_ids.erase(std::string(FindHeader(headers, kHeaderRequestId)));
+  this->running_routes.erase(
+      std::string(FindHeader(headers, kHeaderRequestId)));
   this->runs.erase(found);
   const GateActions actions =
-      teaselspread::Finish(this->keeper, id, took, counts, now, this->rng);
+      teaselspread::Finish(this->gatekeeper, id, took, counts, now, this->rng);
   if (done)
     done(result);
   this->Apply(actions);
@@ -282,7 +284,7 @@
     return;
   GateRun& run = found->second;
   if (run.started == TimePoint{}) {
-    Withdraw(this->keeper, id);
+    Withdraw(this->gatekeeper, id);
     this->runs.erase(found);
     return;
   }
@@ -303,26 +305,27 @@
   this->probing = true;
   HttpRequest request;
   request.target = health_path;
-  this->pool.Call(request, "", kReuseWithin,
+  this->pool.Call(request, "", kMaxIdleForReuse,
                   [this, service](const CallResult& result) {
                     this->probing = false;
                     if (result.answered && !this->lease.current)
-                      this->TakeProbe(service, result.response);
+                      this->OnProbeResponse(service, result.response);
                   });
 }
 
 // Version and start of the process stay unknown until its heartbeat, which
 // replaces this report whatever its number.
-void Gate::TakeProbe(const std::string& service, const HttpResponse& response) {
+void Gate::OnProbeResponse(const std::string& service,
+                           const HttpResponse& response) {
   constexpr int kOk = 200;
-  constexpr std::size_t kLoadParts = 3;
+  constexpr std::size_t kLoadFields = 3;
   const std::string_view instance =
       FindHeader(response.headers, this->names.instance);
   const std::vector<std::string> load = absl::StrSplit(
       std::string(FindHeader(response.headers, this->names.load)), ',');
   int slots = 0;
   const bool knows_slots =
-      load.size() == kLoadParts && absl::SimpleAtoi(load.back(), &slots);
+      load.size() == kLoadFields && absl::SimpleAtoi(load.back(), &slots);
   Log(LogLevel::kInfo, "gate", "upstream-probed",
       {{"status", response.status},
        {"instance", instance},
@@ -333,32 +336,32 @@
   report.instance = std::string(instance);
   report.service = service;
   report.slots = slots;
-  (void)this->Report(report);
+  (void)this->OnHeartbeat(report);
 }
 
-ReportVerdict Gate::Report(const UpstreamReport& report) {
+ReportVerdict Gate::OnHeartbeat(const UpstreamReport& report) {
   const ReportVerdict verdict = TakeReport(this->lease, report, SteadyNow());
   this->ApplyLease();
-  this->on_change();
+  this->on_status_change();
   return verdict;
 }
 
-bool Gate::LeaveUpstream(const LeaveCall& call) {
+bool Gate::OnUpstreamLeaving(const LeaveCall& call) {
   const bool known =
       TakeLeave(this->lease, call.instance, call.born_ms, SteadyNow());
   this->ApplyLease();
-  this->on_change();
+  this->on_status_change();
   return known;
 }
 
 void Gate::LeaveNode() {
   this->node_leaving = true;
-  this->Apply(Leave(this->keeper, SteadyNow(), this->rng));
-  this->on_change();
+  this->Apply(Leave(this->gatekeeper, SteadyNow(), this->rng));
+  this->on_status_change();
 }
 
-void Gate::LoseUpstream(const char* why) {
-  this->NoteCrash();
+void Gate::MarkUpstreamLost(const char* why) {
+  this->RecordCrash();
   OnUpstreamUnreachable(this->lease);
   Log(LogLevel::kWarning, "gate", "upstream-unreachable",
       {{"why", why},
@@ -366,49 +369,49 @@
   this->ApplyLease();
 }
 
-void Gate::NoteBroken(const GateRun& run) {
+void Gate::RecordBrokenConnection(const GateRun& run) {
   const TimePoint now = SteadyNow();
-  std::erase_if(this->broken, [now](const auto& each) {
-    return now - each.first > kCrashSeenWithin;
+  std::erase_if(this->broken_runs, [now](const auto& each) {
+    return now - each.first > kCrashWindow;
   });
-  this->broken.emplace_back(now, run.fingerprint);
-  this->CheckAlive();
+  this->broken_runs.emplace_back(now, run.fingerprint);
+  this->CheckUpstreamListening();
 }
 
 // With little traffic nobody would try to connect, and the crash would go
 // unnoticed until the next request runs into it.
-void Gate::CheckAlive() {
+void Gate::CheckUpstreamListening() {
   const TimePoint now = SteadyNow();
-  if (now - this->checked_at < kCheckEvery)
+  if (now - this->checked_at < kMinCheckInterval)
     return;
   this->checked_at = now;
   this->pool.CheckListening([this](bool listening) {
     if (!listening)
-      this->LoseUpstream("not-listening");
+      this->MarkUpstreamLost("not-listening");
   });
 }
 
 // The upstream is gone right after connections broke: it has crashed, and one
 // of the requests that it ran may be why. Its caller sends it again, and each
 // upstream that runs it would crash in turn.
-void Gate::NoteCrash() {
+void Gate::RecordCrash() {
   const TimePoint now = SteadyNow();
-  std::vector<Fingerprint> blamed;
-  for (const auto& [when, fingerprint] : this->broken) {
-    if (now - when <= kCrashSeenWithin)
-      blamed.push_back(fingerprint);
+  std::vector<Fingerprint> blamed_runs;
+  for (const auto& [when, fingerprint] : this->broken_runs) {
+    if (now - when <= kCrashWindow)
+      blamed_runs.push_back(fingerprint);
   }
-  this->broken.clear();
-  if (blamed.empty())
+  this->broken_runs.clear();
+  if (blamed_runs.empty())
     return;
-  const auto rows = OnCrash(this->suspects, blamed, now);
+  const auto rows = OnCrash(this->suspects, blamed_runs, now);
   Log(LogLevel::kWarning, "gate", "upstream-crashed",
       {{"instance", this->lease.current ? this->lease.current->instance : ""},
        {"requests_blamed", rows.size()}});
-  this->on_change();
+  this->on_status_change();
 }
 
-void Gate::NoteClean(const GateRun& run) {
+void Gate::RecordCleanRun(const GateRun& run) {
   if (this->suspects.rows.empty())
     return;
   (void)OnCleanRun(this->suspects, run.fingerprint, SteadyNow());
@@ -419,7 +422,7 @@
   const TimePoint now = SteadyNow();
   for (const auto& [fingerprint, rows] : this->suspects.rows) {
     for (const SuspectRow& row : rows) {
-      if (row.expires <= now || notes.size() >= kMostSuspectNotes)
+      if (row.expires <= now || notes.size() >= kMaxSuspectNotes)
         continue;
       const auto left =
           std::chrono::duration_cast<std::chrono::minutes>(row.expires - now);
@@ -430,7 +433,7 @@
   return notes;
 }
 
-void Gate::TakeSuspectNotes(const std::vector<SuspectNote>& notes) {
+void Gate::MergeSuspectNotes(const std::vector<SuspectNote>& notes) {
   const TimePoint now = SteadyNow();
   std::vector<SuspectRow> rows;
   rows.reserve(notes.size());
@@ -441,21 +444,21 @@
   (void)MergeSuspects(this->suspects, rows, now);
 }
 
-void Gate::RefreshTimes() {
-  RefreshTold(this->told_times, this->keeper.service_times);
+void Gate::RefreshReportedTimes() {
+  RefreshTold(this->reported_times, this->gatekeeper.service_times);
   std::vector<RouteTime> all;
-  if (this->told_mean_ms > 0)
-    all.push_back({"", this->told_mean_ms});
-  RefreshTold(all, {{"", this->keeper.all_routes}});
-  this->told_mean_ms = all.front().mean_ms;
+  if (this->reported_mean_ms > 0)
+    all.push_back({"", this->reported_mean_ms});
+  RefreshTold(all, {{"", this->gatekeeper.all_routes}});
+  this->reported_mean_ms = all.front().mean_ms;
 }
 
 void Gate::Tick() {
-  if (this->keeper.all_routes.mean_us > 0)
-    this->RefreshTimes();
+  if (this->gatekeeper.all_routes.mean_us > 0)
+    this->RefreshReportedTimes();
   ExpireSuspects(this->suspects, SteadyNow());
   this->ApplyLease();
-  this->pool.Prune(kReuseWithin);
+  this->pool.Prune(kMaxIdleForReuse);
 }
 
 // Everything that the lease says is in force when this returns: whoever was
@@ -467,37 +470,38 @@
   const int slots = this->lease.current ? this->lease.current->slots : 1;
   const std::string version =
       this->lease.current ? this->lease.current->version : "";
-  if (state == this->applied && slots == this->keeper.settings.slots &&
+  if (state == this->applied_state &&
+      slots == this->gatekeeper.settings.slots &&
       version == this->applied_version)
     return;
   Log(LogLevel::kInfo, "gate", "upstream-state",
-      {{"from", NameOf(this->applied)},
+      {{"from", NameOf(this->applied_state)},
        {"to", NameOf(state)},
        {"slots", slots},
        {"instance", this->lease.current ? this->lease.current->instance : ""},
        {"version", version},
        {"sequence", this->lease.current ? this->lease.current->sequence : 0},
        {"age_ms", MillisOf(now - this->lease.renewed)}});
-  this->applied = state;
+  this->applied_state = state;
   this->applied_version = version;
-  this->Apply(SetUpstream(this->keeper, slots, ready, now, this->rng));
-  this->on_change();
+  this->Apply(SetUpstream(this->gatekeeper, slots, ready, now, this->rng));
+  this->on_status_change();
 }
 
 // A request that waits is refused as soon as it cannot make its deadline any
 // more, not when the deadline has passed: its caller can still use the time.
 void Gate::ScheduleExpiry() {
-  const auto next = NextExpiry(this->keeper);
+  const auto next = NextExpiry(this->gatekeeper);
   if (!next || *next == this->expiry_at)
     return;
   this->expiry_at = *next;
-  this->expiry.expires_after(*next - SteadyNow() +
-                             std::chrono::milliseconds(1));
-  this->expiry.async_wait([this](boost::system::error_code error) {
+  this->expiry_timer.expires_after(*next - SteadyNow() +
+                                   std::chrono::milliseconds(1));
+  this->expiry_timer.async_wait([this](boost::system::error_code error) {
     if (error)
       return;
     this->expiry_at = TimePoint{};
-    this->Apply(Expire(this->keeper, SteadyNow(), this->rng));
+    this->Apply(Expire(this->gatekeeper, SteadyNow(), this->rng));
   });
 }
 
@@ -505,8 +509,9 @@
   const std::size_t dot = request_id.find('.');
   if (dot == std::string_view::npos)
     return {};
-  const auto found = this->running_ids.find(request_id.substr(0, dot));
-  return found == this->running_ids.end() ? std::string_view{} : found->second;
+  const auto found = this->running_routes.find(request_id.substr(0, dot));
+  return found == this->running_routes.end() ? std::string_view{}
+                                             : found->second;
 }
 
 GateStatus Gate::Status() const {
@@ -524,11 +529,11 @@
   status.state = StateOf(this->lease, now);
   if (this->node_leaving && status.state == LeaseState::kReady)
     status.state = LeaseState::kLeaving;
-  status.running = static_cast<std::uint32_t>(this->keeper.running);
-  status.waiting = static_cast<std::uint32_t>(this->keeper.queue.size());
-  status.queued_ms = MillisOf(QueuedTime(this->keeper));
-  status.times = this->told_times;
-  status.mean_ms = this->told_mean_ms;
+  status.running = static_cast<std::uint32_t>(this->gatekeeper.running);
+  status.waiting = static_cast<std::uint32_t>(this->gatekeeper.queue.size());
+  status.queued_ms = MillisOf(QueuedTime(this->gatekeeper));
+  status.times = this->reported_times;
+  status.mean_ms = this->reported_mean_ms;
   return status;
 }
 
--- a/src/edge/gate.h
+++ b/src/edge/gate.h
@@ -53,10 +53,12 @@
   Gate(const Gate&) = delete;
   Gate& operator=(const Gate&) = delete;
 
-  void SetWaiting(const WaitingSettings& waiting) {
-    this->keeper.settings.waiting = waiting;
+  void SetWaitingSettings(const WaitingSettings& waiting) {
+    this->gatekeeper.settings.waiting = waiting;
+  }
+  void SetUpstreamAddress(const Address& upstream) {
+    this->pool.SetAddress(upstream);
   }
-  void SetAddress(const Address& upstream) { this->pool.SetAddress(upstream); }
 
   // Runs the request or says why not; `done` is called once, perhaps before
   // this returns. Precondition: `id` is not under way.
@@ -72,9 +74,9 @@
   void Probe(const std::string& health_path, const std::string& service);
 
   // A heartbeat; it is in force when this returns.
-  [[nodiscard]] ReportVerdict Report(const UpstreamReport& report);
+  [[nodiscard]] ReportVerdict OnHeartbeat(const UpstreamReport& report);
   // False when another process holds the lease.
-  bool LeaveUpstream(const LeaveCall& call);
+  bool OnUpstreamLeaving(const LeaveCall& call);
 
   // The node itself stops: nothing new runs, what runs goes on.
   void LeaveNode();
@@ -82,7 +84,7 @@
   // Rows that this node knows of requests that may crash upstreams, for the
   // others, and rows that another node told.
   [[nodiscard]] std::vector<SuspectNote> SuspectNotes() const;
-  void TakeSuspectNotes(const std::vector<SuspectNote>& notes);
+  void MergeSuspectNotes(const std::vector<SuspectNote>& notes);
 
   // Tells the crashes of this node apart from those of others and of its own
   // earlier life. Call once, before the first run.
@@ -100,56 +102,57 @@
 
   // Forgets what was measured of routes that are gone.
   void KeepRoutes(const std::set<std::string_view>& routes) {
-    KeepTimesOf(this->keeper, routes);
+    KeepTimesOf(this->gatekeeper, routes);
   }
 
   [[nodiscard]] GateStatus Status() const;
   [[nodiscard]] std::size_t CountRunning() const {
-    return static_cast<std::size_t>(this->keeper.running);
+    return static_cast<std::size_t>(this->gatekeeper.running);
   }
-  [[nodiscard]] const Gatekeeper& Keeper() const { return this->keeper; }
+  [[nodiscard]] const Gatekeeper& Keeper() const { return this->gatekeeper; }
 
   // Called when Status() has changed in more than its load.
-  std::function<void()> on_change = [] {};
+  std::function<void()> on_status_change = [] {};
 
   LoopClient pool;
   UpstreamLease lease;
 
  private:
-  void RefreshTimes();
-  void NoteBroken(const GateRun& run);
-  void NoteCrash();
-  void CheckAlive();
-  void NoteClean(const GateRun& run);
-  void TakeProbe(const std::string& service, const HttpResponse& response);
+  void RefreshReportedTimes();
+  void RecordBrokenConnection(const GateRun& run);
+  void RecordCrash();
+  void CheckUpstreamListening();
+  void RecordCleanRun(const GateRun& run);
+  void OnProbeResponse(const std::string& service,
+                       const HttpResponse& response);
   void Start(std::uint64_t id);
   void Finish(std::uint64_t id, bool counts, const ResultFrame& result);
   void OnCallEnd(std::uint64_t id, CallResult result);
   void OnDeadline(std::uint64_t id);
   void Refuse(std::uint64_t id, const Refusal& refusal);
   void Apply(const GateActions& actions);
-  void LoseUpstream(const char* why);
+  void MarkUpstreamLost(const char* why);
   void ApplyLease();
   void ScheduleExpiry();
 
   boost::asio::io_context& loop;
   EdgeHeaderNames names;
-  Gatekeeper keeper;
+  Gatekeeper gatekeeper;
   std::unordered_map<std::uint64_t, GateRun> runs;
-  boost::asio::steady_timer expiry;
+  boost::asio::steady_timer expiry_timer;
   TimePoint expiry_at;
-  LeaseState applied = LeaseState::kNone;
+  LeaseState applied_state = LeaseState::kNone;
   std::string applied_version;
   SuspectTable suspects;
   // Runs whose connection broke a moment ago: if the upstream turns out to be
   // gone, one of them may have crashed it.
-  std::vector<std::pair<TimePoint, Fingerprint>> broken;
+  std::vector<std::pair<TimePoint, Fingerprint>> broken_runs;
   // Routes of the requests at the upstream, by request id.
-  std::map<std::string, std::string, std::less<>> running_ids;
+  std::map<std::string, std::string, std::less<>> running_routes;
   TimePoint checked_at;
   // Times as they were told last, by route and over all.
-  std::vector<RouteTime> told_times;
-  std::uint32_t told_mean_ms = 0;
+  std::vector<RouteTime> reported_times;
+  std::uint32_t reported_mean_ms = 0;
   bool node_leaving = false;
   bool probing = false;
   Rng rng;
--- a/src/edge/metrics.cc
+++ b/src/edge/metrics.cc
@@ -38,15 +38,15 @@
                      const std::string& route,
                      const LatencyHistogram& histogram) {
   const std::string name = "teaselspread_request_seconds";
-  std::uint64_t below = 0;
+  std::uint64_t cumulative = 0;
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
     if (histogram.counts.at(i) == 0)
       continue;
-    below += histogram.counts.at(i);
+    cumulative += histogram.counts.at(i);
     const double bound =
         static_cast<double>(LatencyBound(i).count()) / kMicrosPerSecond;
     absl::StrAppend(&text, name, "_bucket{route=\"", route, "\",le=\"", bound,
-                    "\"} ", below, "\n");
+                    "\"} ", cumulative, "\n");
   }
   const double sum =
       static_cast<double>(histogram.sum.count()) / kMicrosPerSecond;
@@ -61,7 +61,7 @@
 std::string MetricsText(const EdgeNode& node) {
   std::string text;
   const EntryCounters& entry = node.entry.counters;
-  const SnapshotPtr& held = node.entry.InForce();
+  const SnapshotPtr& held = node.entry.CurrentSnapshot();
   AppendValue(text, "config_version", "", "", held ? held->version : 0);
   AppendValue(text, "requests_total", "", "", entry.requests);
   AppendValue(text, "answered_total", "", "", entry.answered);
@@ -77,7 +77,8 @@
   AppendTable(text, "link_bytes_near_total", "frame", node.links.sent_near);
   AppendTable(text, "link_bytes_far_total", "frame", node.links.sent_far);
   AppendTable(text, "heartbeats_total", "verdict", node.heartbeats);
-  AppendTable(text, "config_copies_total", "event", node.exchange.counters);
+  AppendTable(text, "config_copies_total", "event",
+              node.config_exchange.counters);
   AppendTable(text, "store_reads_total", "outcome", node.orders.outcomes);
   AppendValue(text, "log_lines_dropped_total", "", "", node.log.Dropped());
   const GateStatus gate = node.gate.Status();
--- a/src/edge/move_reporter.cc
+++ b/src/edge/move_reporter.cc
@@ -8,31 +8,31 @@
 
 // The node of the next rank writes when nothing was reported for this long: the
 // one before it may be gone or may not reach the store.
-constexpr Duration kTurnTime = std::chrono::milliseconds(700);
+constexpr Duration kTakeoverDelay = std::chrono::milliseconds(700);
 // After a call that failed.
-constexpr Duration kRetryAfter = std::chrono::milliseconds(250);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(250);
 
 }  // namespace
 
 void MoveReporter::Read() {
-  if (this->busy)
+  if (this->call_in_flight)
     return;
-  this->busy = true;
+  this->call_in_flight = true;
   this->adapter.store.read_newest(
       RecordStream::kReports, "",
       [this, lives = this->alive](const RecordPage& page) {
         if (!*lives)
           return;
-        this->busy = false;
-        this->next_try = SteadyNow() + kRetryAfter;
+        this->call_in_flight = false;
+        this->next_attempt = SteadyNow() + kRetryDelay;
         if (page.outcome == StoreOutcome::kOk) {
-          this->read_once = true;
-          this->TakePage(page);
+          this->has_read = true;
+          this->ApplyPage(page);
         }
       });
 }
 
-void MoveReporter::TakePage(const RecordPage& page) {
+void MoveReporter::ApplyPage(const RecordPage& page) {
   for (const StoredRecord& record : page.records) {
     if (const auto report = this->adapter.decode_report(record))
       this->versions.TakeReport(*report);
@@ -41,24 +41,24 @@
 
 void MoveReporter::Step(std::size_t rank) {
   const TimePoint now = SteadyNow();
-  if (this->busy || now < this->next_try)
+  if (this->call_in_flight || now < this->next_attempt)
     return;
-  if (!this->read_once) {
+  if (!this->has_read) {
     this->Read();
     return;
   }
   for (const auto& [service, trial] : this->versions.Trials()) {
     if (trial.reported) {
-      this->waiting.erase(service);
+      this->unreported_since.erase(service);
       continue;
     }
     const auto [found, added] =
-        this->waiting.try_emplace(service, trial.progress, now);
+        this->unreported_since.try_emplace(service, trial.progress, now);
     if (found->second.first != trial.progress)
       found->second = {trial.progress, now};
-    if (now - found->second.second < kTurnTime * rank)
+    if (now - found->second.second < kTakeoverDelay * rank)
       continue;
-    this->busy = true;
+    this->call_in_flight = true;
     this->adapter.store.read_newest(
         RecordStream::kReports, "",
         [this, lives = this->alive, service = service](const RecordPage& page) {
@@ -72,17 +72,17 @@
 // What the store holds is taken over first: another node may have written the
 // end of the move, and that stands.
 void MoveReporter::Write(const std::string& service, const RecordPage& page) {
-  this->busy = false;
-  this->next_try = SteadyNow() + kRetryAfter;
+  this->call_in_flight = false;
+  this->next_attempt = SteadyNow() + kRetryDelay;
   if (page.outcome != StoreOutcome::kOk)
     return;
-  this->TakePage(page);
+  this->ApplyPage(page);
   const auto found = this->versions.Trials().find(service);
   if (found == this->versions.Trials().end() || found->second.reported)
     return;
   const VersionTrial& trial = found->second;
   const MoveReport report{service, trial.order.to, trial.progress};
-  this->busy = true;
+  this->call_in_flight = true;
   this->adapter.store.append(
       RecordStream::kReports, this->adapter.encode_report(report), page.next,
       [this, lives = this->alive, report](const AppendResult& result) {
@@ -95,7 +95,7 @@
 // stand in the store already.
 void MoveReporter::OnWritten(const MoveReport& report,
                              const AppendResult& result) {
-  this->busy = false;
+  this->call_in_flight = false;
   Log(LogLevel::kInfo, "moves", "reported",
       {{"move", report.service},
        {"to", report.to},
@@ -103,10 +103,10 @@
        {"outcome", NameOf(result.outcome)}});
   if (result.outcome == StoreOutcome::kOk) {
     this->versions.MarkReported(report.service, report.progress);
-    this->next_try = TimePoint{};
+    this->next_attempt = TimePoint{};
     return;
   }
-  this->next_try = SteadyNow() + kRetryAfter;
+  this->next_attempt = SteadyNow() + kRetryDelay;
 }
 
 }  // namespace teaselspread
--- a/src/edge/move_reporter.h
+++ b/src/edge/move_reporter.h
@@ -43,15 +43,15 @@
  private:
   void Write(const std::string& service, const RecordPage& page);
   void OnWritten(const MoveReport& report, const AppendResult& result);
-  void TakePage(const RecordPage& page);
+  void ApplyPage(const RecordPage& page);
 
   const EdgeAdapter& adapter;
   VersionChoice& versions;
   // When each unreported state was first seen.
-  std::map<std::string, std::pair<MoveProgress, TimePoint>> waiting;
-  bool busy = false;
-  bool read_once = false;
-  TimePoint next_try;
+  std::map<std::string, std::pair<MoveProgress, TimePoint>> unreported_since;
+  bool call_in_flight = false;
+  bool has_read = false;
+  TimePoint next_attempt;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/edge/roster.cc
+++ b/src/edge/roster.cc
@@ -20,12 +20,12 @@
 
 // After a failed call; with all nodes of a deployment starting at once the
 // store's rate would be used up by repeats.
-constexpr std::chrono::milliseconds kRetryAfter{500};
+constexpr std::chrono::milliseconds kRetryDelay{500};
 // The list is read again this often in case a node missed another's start
 // while a link between them could not be made.
-constexpr std::chrono::seconds kReadAgainAfter{60};
+constexpr std::chrono::seconds kReadInterval{60};
 // With nobody in touch the list is read sooner.
-constexpr std::chrono::seconds kAloneReadAfter{3};
+constexpr std::chrono::seconds kIsolatedReadInterval{3};
 
 std::string RecordOf(const Hello& self) {
   return self.data_center + " " + ToString(self.link);
@@ -42,9 +42,9 @@
   return Hello{record.key, parts[0], *address};
 }
 
-void Later(EdgeNode& node,
-           std::chrono::milliseconds wait,
-           void (*task)(EdgeNode& node)) {
+void ScheduleTask(EdgeNode& node,
+                  std::chrono::milliseconds wait,
+                  void (*task)(EdgeNode& node)) {
   node.roster_timer.expires_after(wait);
   node.roster_timer.async_wait([&node, task](boost::system::error_code error) {
     if (!error)
@@ -54,7 +54,7 @@
 
 void ReadRoster(EdgeNode& node);
 
-bool Alone(const EdgeNode& node) {
+bool IsIsolated(const EdgeNode& node) {
   for (const auto& [name, peer] : node.links.Peers()) {
     if (peer.connected)
       return false;
@@ -68,7 +68,7 @@
         if (page.outcome != StoreOutcome::kOk) {
           Log(LogLevel::kWarning, "roster", "read-failed",
               {{"outcome", NameOf(page.outcome)}});
-          Later(node, kRetryAfter, ReadRoster);
+          ScheduleTask(node, kRetryDelay, ReadRoster);
           return;
         }
         for (const StoredRecord& record : page.records) {
@@ -79,8 +79,9 @@
           ReadPage(node, page.records.back().key);
           return;
         }
-        const bool alone = Alone(node);
-        Later(node, alone ? kAloneReadAfter : kReadAgainAfter, ReadRoster);
+        const bool isolated = IsIsolated(node);
+        ScheduleTask(node, isolated ? kIsolatedReadInterval : kReadInterval,
+                     ReadRoster);
       });
 }
 
@@ -96,7 +97,7 @@
                                 Log(LogLevel::kWarning, "roster",
                                     "register-failed",
                                     {{"outcome", NameOf(result.outcome)}});
-                                Later(node, kRetryAfter, Register);
+                                ScheduleTask(node, kRetryDelay, Register);
                                 return;
                               }
                               Log(LogLevel::kInfo, "roster", "registered",
--- a/src/edge/version_choice.cc
+++ b/src/edge/version_choice.cc
@@ -129,7 +129,7 @@
 PickedVersion VersionChoice::PickWithoutOld(const VersionTrial& trial,
                                             const Versions& versions) {
   const std::string& to = trial.order.to;
-  const bool taken_back = trial.progress == MoveProgress::kTakenBack;
+  const bool taken_back = trial.progress == MoveProgress::kRolledBack;
   PickedVersion picked;
   picked.unknown_too =
       taken_back || !versions.contains(to) || MostlyUnknown(versions, to);
--- a/src/moves/version_trial.cc
+++ b/src/moves/version_trial.cc
@@ -301,7 +301,7 @@
                     view.old_idle && finding == TrialFinding::kCalm;
   const bool too_late = part >= trial.settings.give_up_from;
   if (finding == TrialFinding::kBad || (too_late && !done))
-    trial.progress = MoveProgress::kTakenBack;
+    trial.progress = MoveProgress::kRolledBack;
   else if (done)
     trial.progress = MoveProgress::kDone;
   return trial.progress != MoveProgress::kRunning;
--- a/tests/contract/platform_test.cc
+++ b/tests/contract/platform_test.cc
@@ -84,7 +84,7 @@
 Test(platform, a_report_survives_the_way_there_and_back) {
   for (const MoveProgress progress :
        {MoveProgress::kRunning, MoveProgress::kDone,
-        MoveProgress::kTakenBack}) {
+        MoveProgress::kRolledBack}) {
     const MoveReport report{"desk", "v2", progress};
     const auto back = DecodeReport(EncodeReport(report));
     cr_assert(back && *back == report);
--- a/tests/unit/config_copy_test.cc
+++ b/tests/unit/config_copy_test.cc
@@ -41,14 +41,14 @@
 // with all the others: it has to cost what the change is worth.
 Test(config_copy, one_route_more_travels_alone) {
   constexpr std::size_t kFewBytes = 1000;
-  constexpr std::size_t kAFourth = 4;
+  constexpr std::size_t kMinCompressionRatio = 4;
   ConfigArchive archive;
   archive.Add(1, RecordOf(TextOf(4000)));
-  const std::uint64_t held = archive.Newest();
+  const std::uint64_t held = archive.NewestDigest();
   archive.Add(2, RecordOf(TextOf(4000, "one more")));
   cr_assert_lt(archive.CopyFor(held)->packed.size(), kFewBytes);
   cr_assert_lt(archive.CopyFor(0)->packed.size(),
-               TextOf(4000).size() / kAFourth);
+               TextOf(4000).size() / kMinCompressionRatio);
 }
 
 // Guards against a configuration made of two: the receiver holds another record
@@ -60,7 +60,7 @@
   cr_assert_not(read.has_value());
   ConfigArchive archive;
   archive.Add(1, RecordOf("other"));
-  cr_assert(archive.Read(*copy).error().kind == ErrorKind::kMissingParent);
+  cr_assert(archive.Unpack(*copy).error().kind == ErrorKind::kMissingParent);
 }
 
 // Guards against a node that ends, or fills its memory, over what a peer sent.
@@ -79,11 +79,11 @@
   ConfigArchive archive;
   cr_assert(archive.CopyFor(0).error().kind == ErrorKind::kNotReady);
   archive.Add(1, RecordOf("a"));
-  const std::uint64_t oldest = archive.Newest();
+  const std::uint64_t oldest = archive.NewestDigest();
   for (ConfigVersion version = 2; version < 20; ++version)
     archive.Add(version, RecordOf("a" + std::to_string(version)));
   cr_assert_eq(archive.CopyFor(oldest)->base, 0);
-  cr_assert(archive.Read(*archive.CopyFor(oldest))->value == "a19");
+  cr_assert(archive.Unpack(*archive.CopyFor(oldest))->value == "a19");
 }
 
 }  // namespace
--- a/tests/unit/config_fetch_test.cc
+++ b/tests/unit/config_fetch_test.cc
@@ -15,12 +15,12 @@
 
 const TimePoint kStart = TimePoint{} + std::chrono::hours(1);
 
-std::optional<std::string> Ask(FetchState& state,
-                               std::vector<ConfigHolder> holders,
-                               Duration at,
-                               bool reads = false) {
+std::optional<std::string> Query(FetchState& state,
+                                 std::vector<ConfigHolder> holders,
+                                 Duration at,
+                                 bool is_reader = false) {
   Rng rng(1);
-  return NextToAsk(state, holders, 1, reads, kStart + at, rng);
+  return NextToQuery(state, holders, 1, is_reader, kStart + at, rng);
 }
 
 // Guards against a second copy while the first is on its way: it takes as long
@@ -28,50 +28,50 @@
 Test(config_fetch, one_answer_is_owed_at_a_time) {
   FetchState state;
   const std::vector<ConfigHolder> holders = {{"a", 2, true}, {"b", 2, true}};
-  const auto first = Ask(state, holders, Ms(0));
+  const auto first = Query(state, holders, Ms(0));
   cr_assert(first.has_value());
   for (int ms = 0; ms < 60'000; ms += 100)
-    cr_assert_not(Ask(state, holders, Ms(ms)).has_value());
-  OnFetchAnswer(state, *first);
-  cr_assert(Ask(state, holders, Ms(60'000)).has_value());
+    cr_assert_not(Query(state, holders, Ms(ms)).has_value());
+  OnFetchResponse(state, *first);
+  cr_assert(Query(state, holders, Ms(60'000)).has_value());
 }
 
 // Guards against a node that waits for an answer that went down with its link.
 Test(config_fetch, the_answer_of_a_lost_link_is_asked_of_another) {
   FetchState state;
-  cr_assert(Ask(state, {{"a", 2, true}}, Ms(0)) == "a");
+  cr_assert(Query(state, {{"a", 2, true}}, Ms(0)) == "a");
   OnFetchLost(state, "a");
-  cr_assert(Ask(state, {{"b", 2, true}}, Ms(1)) == "b");
+  cr_assert(Query(state, {{"b", 2, true}}, Ms(1)) == "b");
 }
 
 // A node tells that it is busy, or answers a ping, when another one owes the
 // copy: that is no reason to ask a third one.
 Test(config_fetch, what_others_say_does_not_end_the_wait) {
   FetchState state;
-  cr_assert(Ask(state, {{"a", 2, true}}, Ms(0)) == "a");
+  cr_assert(Query(state, {{"a", 2, true}}, Ms(0)) == "a");
   OnFetchBusy(state, "b", kStart);
   OnFetchLost(state, "b");
-  OnFetchAnswer(state, "b");
-  cr_assert_not(Ask(state, {{"c", 2, true}}, Ms(1)).has_value());
+  OnFetchResponse(state, "b");
+  cr_assert_not(Query(state, {{"c", 2, true}}, Ms(1)).has_value());
 }
 
 Test(config_fetch, a_busy_node_is_left_alone_for_a_moment) {
   FetchState state;
-  cr_assert(Ask(state, {{"a", 3, true}, {"b", 2, true}}, Ms(0)) == "a");
+  cr_assert(Query(state, {{"a", 3, true}, {"b", 2, true}}, Ms(0)) == "a");
   OnFetchBusy(state, "a", kStart);
-  cr_assert(Ask(state, {{"a", 3, true}, {"b", 2, true}}, Ms(1)) == "b");
-  OnFetchAnswer(state, "b");
-  cr_assert_not(Ask(state, {{"a", 3, true}}, Ms(100)).has_value());
-  cr_assert(Ask(state, {{"a", 3, true}}, Ms(200)) == "a");
+  cr_assert(Query(state, {{"a", 3, true}, {"b", 2, true}}, Ms(1)) == "b");
+  OnFetchResponse(state, "b");
+  cr_assert_not(Query(state, {{"a", 3, true}}, Ms(100)).has_value());
+  cr_assert(Query(state, {{"a", 3, true}}, Ms(200)) == "a");
 }
 
 Test(config_fetch, others_are_asked_only_when_the_readers_nearby_are_late) {
   FetchState state;
-  cr_assert_not(Ask(state, {{"far", 2, false}}, Ms(0)).has_value());
-  cr_assert(Ask(state, {{"far", 2, false}}, Ms(900)) == "far");
+  cr_assert_not(Query(state, {{"far", 2, false}}, Ms(0)).has_value());
+  cr_assert(Query(state, {{"far", 2, false}}, Ms(900)) == "far");
   FetchState reader;
-  cr_assert_not(Ask(reader, {{"a", 2, true}}, Ms(0), true).has_value());
-  cr_assert(Ask(reader, {{"a", 2, true}}, Ms(900), true) == "a");
+  cr_assert_not(Query(reader, {{"a", 2, true}}, Ms(0), true).has_value());
+  cr_assert(Query(reader, {{"a", 2, true}}, Ms(900), true) == "a");
 }
 
 // Nodes of one data centre behind lines of 10 Mbit/s each way, on a virtual
@@ -84,7 +84,7 @@
     for (std::size_t i = 0; i < count; ++i)
       this->nodes[i].name = "n" + std::to_string(100 + i);
     this->nodes[0].held = 2;
-    this->At(TimePoint{}, [this] { this->Tell(0); });
+    this->Schedule(TimePoint{}, [this] { this->Announce(0); });
   }
 
   // When the last node held it, from the moment at which the first did.
@@ -105,8 +105,8 @@
   }
 
  private:
-  static constexpr Duration kWay = Ms(1);
-  static constexpr Duration kToTakeIn = Ms(150);
+  static constexpr Duration kOneWayDelay = Ms(1);
+  static constexpr Duration kApplyTime = Ms(150);
   static constexpr Duration kTick = Ms(250);
   static constexpr std::int64_t kBytesPerMs = 1250;
 
@@ -114,25 +114,25 @@
     std::string name;
     ConfigVersion held = 1;
     FetchState fetch;
-    CopiesUnderWay under_way;
+    CopiesInFlight in_flight;
     // When its line is free, each way.
-    TimePoint sends;
-    TimePoint receives;
+    TimePoint send_free_at;
+    TimePoint receive_free_at;
     // What it knows of the others.
     std::map<std::string, std::size_t> holders;
   };
 
-  void At(TimePoint when, std::function<void()> task) {
+  void Schedule(TimePoint when, std::function<void()> task) {
     this->events.emplace(when, std::move(task));
   }
 
-  void Tell(std::size_t holder) {
+  void Announce(std::size_t holder) {
     for (std::size_t i = 0; i < this->nodes.size(); ++i) {
       if (i == holder)
         continue;
-      this->At(this->now + kWay, [this, i, holder] {
+      this->Schedule(this->now + kOneWayDelay, [this, i, holder] {
         this->nodes[i].holders[this->nodes[holder].name] = holder;
-        OnHeld(this->nodes[i].under_way, this->nodes[holder].name, 2);
+        OnVersionHeld(this->nodes[i].in_flight, this->nodes[holder].name, 2);
         this->Fetch(i);
       });
     }
@@ -145,39 +145,43 @@
     std::vector<ConfigHolder> holders;
     for (const auto& [name, index] : node.holders)
       holders.push_back({name, 2, true});
-    const auto asked = NextToAsk(node.fetch, holders, node.held, false,
-                                 kStart + (this->now - TimePoint{}), this->rng);
-    if (!asked)
+    const auto queried =
+        NextToQuery(node.fetch, holders, node.held, false,
+                    kStart + (this->now - TimePoint{}), this->rng);
+    if (!queried)
       return;
-    const std::size_t other = node.holders.at(*asked);
-    this->At(this->now + kWay,
-             [this, self, other] { this->Answer(other, self); });
+    const std::size_t other = node.holders.at(*queried);
+    this->Schedule(this->now + kOneWayDelay,
+                   [this, self, other] { this->Respond(other, self); });
   }
 
-  void Answer(std::size_t self, std::size_t asker) {
+  void Respond(std::size_t self, std::size_t requester) {
     Node& node = this->nodes[self];
-    const std::string& to = this->nodes[asker].name;
-    if (!MayHandOut(node.under_way, this->copy_bytes)) {
-      this->At(this->now + kWay, [this, self, asker] {
-        OnFetchBusy(this->nodes[asker].fetch, this->nodes[self].name,
+    const std::string& to = this->nodes[requester].name;
+    if (!MaySendCopy(node.in_flight, this->copy_bytes)) {
+      this->Schedule(this->now + kOneWayDelay, [this, self, requester] {
+        OnFetchBusy(this->nodes[requester].fetch, this->nodes[self].name,
                     kStart + (this->now - TimePoint{}));
-        this->Fetch(asker);
-        this->At(this->now + kTick, [this, asker] { this->Fetch(asker); });
+        this->Fetch(requester);
+        this->Schedule(this->now + kTick,
+                       [this, requester] { this->Fetch(requester); });
       });
       return;
     }
-    node.under_way.to[to] = {this->copy_bytes, 2, this->now};
-    const Duration on_line =
+    node.in_flight.by_node[to] = {this->copy_bytes, 2, this->now};
+    const Duration transfer_time =
         Ms(static_cast<std::int64_t>(this->copy_bytes) / kBytesPerMs);
-    Node& receiver = this->nodes[asker];
-    node.sends = std::max(node.sends, this->now) + on_line;
-    receiver.receives = std::max(receiver.receives + on_line, node.sends);
-    this->At(receiver.receives + kToTakeIn, [this, self, asker] {
-      OnFetchAnswer(this->nodes[asker].fetch, this->nodes[self].name);
-      this->nodes[asker].held = 2;
-      this->last_held = this->now;
-      this->Tell(asker);
-    });
+    Node& receiver = this->nodes[requester];
+    node.send_free_at = std::max(node.send_free_at, this->now) + transfer_time;
+    receiver.receive_free_at =
+        std::max(receiver.receive_free_at + transfer_time, node.send_free_at);
+    this->Schedule(
+        receiver.receive_free_at + kApplyTime, [this, self, requester] {
+          OnFetchResponse(this->nodes[requester].fetch, this->nodes[self].name);
+          this->nodes[requester].held = 2;
+          this->last_held = this->now;
+          this->Announce(requester);
+        });
   }
 
   std::size_t copy_bytes;
--- a/tests/unit/version_choice_test.cc
+++ b/tests/unit/version_choice_test.cc
@@ -42,7 +42,7 @@
 Test(version_choice, a_verdict_told_by_a_peer_holds_without_the_order) {
   VersionChoice versions;
   TrialNote note = NoteTo("v2", 0);
-  note.progress = MoveProgress::kTakenBack;
+  note.progress = MoveProgress::kRolledBack;
   versions.TakeNotes("bole-2", {note});
   versions.SetReady({{kDesk, "v1", "i-1", 10, 0}, {kDesk, "v2", "i-2", 90, 0}});
   cr_assert(versions.Pick(kDesk).version == "v1");
@@ -93,7 +93,7 @@
 Test(version_choice, unknown_versions_serve_alone_after_one_was_taken_back) {
   VersionChoice versions;
   ReadOrder(versions, "v2");
-  versions.TakeReport({kDesk, "v2", MoveProgress::kTakenBack});
+  versions.TakeReport({kDesk, "v2", MoveProgress::kRolledBack});
   versions.SetReady({{kDesk, "", "i-1", 4, 0}, {kDesk, "v2", "i-2", 4, 0}});
   PickedVersion picked = versions.Pick(kDesk);
   cr_assert(FitOf(picked, "", "i-1") == VersionFit::kFirst);
--- a/tests/unit/version_trial_test.cc
+++ b/tests/unit/version_trial_test.cc
@@ -108,7 +108,7 @@
 
 // A tenth of the requests between the order and its end, and fifty.
 void CheckTakenBack(const Run& run, std::uint64_t seed) {
-  cr_assert(run.progress == MoveProgress::kTakenBack, "seed %d",
+  cr_assert(run.progress == MoveProgress::kRolledBack, "seed %d",
             static_cast<int>(seed));
   cr_assert(run.exposed <= run.total / 10 + 50, "seed %d: %d of %d",
             static_cast<int>(seed), run.exposed, run.total);
@@ -293,13 +293,13 @@
   TrialNote note;
   note.service = "registry-desk";
   note.to = "v2";
-  note.progress = MoveProgress::kTakenBack;
+  note.progress = MoveProgress::kRolledBack;
   TakeNote(trial, "bole-2", note, kStart);
-  cr_assert(trial.progress == MoveProgress::kTakenBack);
+  cr_assert(trial.progress == MoveProgress::kRolledBack);
   cr_assert(ShareOf(trial, kStart) == 0);
   note.progress = MoveProgress::kDone;
   TakeNote(trial, "bole-3", note, kStart);
-  cr_assert(trial.progress == MoveProgress::kTakenBack);
+  cr_assert(trial.progress == MoveProgress::kRolledBack);
 }
 
 // All nodes are restarted in turn while a move runs, and each forgets what it
