--- a/include/teaselspread/edge.h
+++ b/include/teaselspread/edge.h
@@ -1,5 +1,6 @@
-// A node on a platform with a store of its own: entry for the callers of its
-// VM and gate of the upstream beside it, on one event loop.
+// A node on a platform that has its own record store. The node is the entry for
+// the callers on its VM and the gate of the upstream beside it; both run on one
+// event loop. An EdgeAdapter supplies everything specific to the platform.
 #ifndef TEASELSPREAD_EDGE_H_
 #define TEASELSPREAD_EDGE_H_
 
@@ -26,43 +27,44 @@
 
 namespace teaselspread {
 
-// What one process on one VM is told at its start, and again on a reload.
+// Settings of one node process, read at its start and again on a reload.
 struct EdgeSettings {
   // The VM's name, unique in the deployment.
   std::string vm;
   std::string data_center;
-  // Service of the upstream on this VM; requests that begin here carry it.
+  // Service of the upstream on this VM; sent with every request from this VM.
   std::string service;
-  // Callers of this VM and the upstream's own calls.
+  // Listens for callers on this VM and for the upstream's own calls.
   Address outbound;
-  // Answers whether callers may be sent here.
+  // Serves the readiness check: whether callers may be sent to this node.
   Address readiness;
-  // Heartbeats of the upstream on this VM.
+  // Listens for heartbeats of the upstream on this VM.
   Address admin;
-  // Counters and histograms as text.
+  // Serves counters and histograms as text.
   Address metrics;
-  // Links of other nodes.
+  // Listens for links from other nodes.
   Address link;
   // The upstream on this VM.
   Address upstream;
   // The platform's store.
   Address store;
-  // What the VM's line carries, in Mbit/s; 0 when that is not known. Nodes with
-  // wide lines read the store for the others of their data centre.
+  // Bandwidth of the VM's network line in Mbit/s; 0 when unknown. In each data
+  // centre the nodes with the most bandwidth read the store for the others.
   double line_mbit = 0;
   // Interval of the upstream's heartbeats.
   Duration heartbeat = std::chrono::milliseconds(1500);
-  // Time from the request to stop until the process is ended by force.
+  // Time from the stop signal until the process is killed.
   Duration stop_grace = std::chrono::seconds(6);
-  // Most repeats to upstreams, over all nodes: a share of the requests of the
-  // service, and a number that is always allowed.
+  // Upper bound on retries to upstreams, over all nodes: a fraction of the
+  // service's requests, plus a number that is always allowed.
   double retry_share = 0.2;
   double retry_slack = 50;
-  // Which upstream a request goes to. `crossing_cost` is for those who know
-  // their lines: near 0 where traffic between data centres is free.
+  // How an upstream is chosen for a request. `crossing_cost` should reflect the
+  // network: near 0 where traffic between data centres is free.
   PlacementSettings placement;
   WaitingSettings waiting;
-  // Bounds agreed with the platform, in its own words; the adapter reads them.
+  // Bounds agreed with the platform, in the platform's syntax; parsed by
+  // EdgeAdapter::apply_agreed.
   std::string agreed;
   LogLevel log_level = LogLevel::kInfo;
 };
@@ -71,19 +73,19 @@
 // what was expected" of kind kSettings. Blocks on the file. Thread safe.
 [[nodiscard]] Result<EdgeSettings> LoadEdgeSettings(const std::string& path);
 
-// The same from text that was read from `file`. Thread safe.
+// Like LoadEdgeSettings, for text that was read from `file`. Thread safe.
 [[nodiscard]] Result<EdgeSettings> ParseEdgeSettings(const std::string& file,
                                                      const std::string& text);
 
-// An operator's order to move a service to a version by a time.
+// An operator's order to move a service to the version `to` within `duration`.
 struct MoveOrder {
   std::string service;
   std::string to;
   Duration duration{};
 };
 
-// What one record of the operators' stream says. `monostate`: nothing that a
-// node acts on.
+// A decoded record of the operators' stream; `monostate` for a record on which
+// nodes do not act.
 using Order = std::variant<std::monostate, SnapshotPtr, MoveOrder>;
 
 enum class MoveProgress : std::uint8_t { kRunning, kDone, kRolledBack };
@@ -91,7 +93,7 @@
 // Stable name for logs and metrics. Thread safe.
 [[nodiscard]] std::string_view NameOf(MoveProgress progress);
 
-// What operators read of a move.
+// State of a move, as reported to operators.
 struct MoveReport {
   std::string service;
   std::string to;
@@ -100,7 +102,7 @@
   bool operator==(const MoveReport&) const = default;
 };
 
-// An upstream says that it leaves, without a heartbeat.
+// An upstream announces that it is leaving, in a call other than a heartbeat.
 struct LeaveCall {
   std::string instance;
   std::int64_t born_ms = 0;
@@ -108,49 +110,51 @@
 
 using UpstreamCall = std::variant<UpstreamReport, LeaveCall>;
 
-// Names of the headers that carry what the node needs to know or to tell.
+// Names of the HTTP headers that the node reads and sets.
 struct EdgeHeaderNames {
-  // Milliseconds that the caller will wait.
+  // Milliseconds for which the caller will wait.
   std::string deadline;
-  // Service that runs on the VM where the request began.
+  // Service that runs on the VM where the request originated.
   std::string caller_service;
-  // Process that alone may run the request.
+  // The only process that may run the request.
   std::string expected_instance;
-  // On an answer: the upstream did not run the request.
+  // On a response: the upstream did not run the request.
   std::string not_run;
-  // On an answer: signature of the upstream over its body.
+  // On a response: the upstream's signature over the body.
   std::string signature;
-  // On the answer to a health check: the process that gave it.
+  // On the response to a health check: the process that sent it.
   std::string instance;
-  // On answers: requests that run, that wait, and slots, with commas between.
+  // On responses: running requests, waiting requests and slots, separated by
+  // commas.
   std::string load;
 };
 
-// All that depends on the platform. Functions belong to the loop's thread.
+// Everything that depends on the platform. The functions are called on the
+// loop's thread only.
 struct EdgeAdapter {
   RecordStore store;
   EdgeHeaderNames headers;
-  // Errors: kConfigInvalid for a record that names nothing to use.
+  // Errors: kConfigInvalid for a record that holds no usable order.
   std::function<Result<Order>(const StoredRecord&)> decode_order;
-  // Errors: kNoRoute for another call, kBadRequest for a body that names no
-  // upstream.
+  // Errors: kNoRoute for an unknown call, kBadRequest for a body that does not
+  // identify an upstream.
   std::function<Result<UpstreamCall>(const HttpRequest&)> decode_upstream_call;
   std::function<HttpResponse()> acknowledge;
   std::function<StoredRecord(const MoveReport&)> encode_report;
-  // None for a record that names no move.
+  // Returns nullopt for a record that does not describe a move.
   std::function<std::optional<MoveReport>(const StoredRecord&)> decode_report;
-  // Puts what `settings.agreed` says into the other fields.
+  // Parses `settings.agreed` and overwrites the fields that it sets.
   std::function<void(EdgeSettings& settings)> apply_agreed;
-  // Path that asks whether callers may be sent here.
+  // Path of the readiness check.
   std::string readiness_path;
 };
 
-// Makes the adapter for a loop that is about to run.
+// Creates the adapter for a loop that does not run yet.
 using AdapterFactory = std::function<EdgeAdapter(boost::asio::io_context& loop,
                                                  const EdgeSettings& settings)>;
 
-// Runs a node until it is told to stop by SIGTERM. `settings_file` is read
-// again when it changes or on SIGHUP. Errors: kSettings. Call it once in a
+// Runs a node until it receives SIGTERM or SIGINT. `settings_file` is read
+// again when it changes and on SIGHUP. Errors: kSettings. Call once per
 // process, from its main thread.
 [[nodiscard]] Result<void> RunEdge(const std::string& settings_file,
                                    const AdapterFactory& make_adapter);
--- a/src/edge/config_copy.cc
+++ b/src/edge/config_copy.cc
@@ -9,10 +9,10 @@
 namespace teaselspread {
 namespace {
 
-// Packs a configuration to a tenth in little more than the time that it takes
-// to copy it.
+// Compresses a configuration to a tenth of its size in little more time than
+// copying it takes.
 constexpr int kCompressionLevel = 3;
-// Records kept beside the newest: a node that follows is one or two behind.
+// Records kept beside the newest; other nodes are usually one or two behind.
 constexpr std::size_t kOlderRecordsKept = 3;
 
 using Compressor = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
--- a/src/edge/config_exchange.cc
+++ b/src/edge/config_exchange.cc
@@ -43,7 +43,8 @@
 void FetchNewerConfig(EdgeNode& node) {
   ConfigExchange& exchange = node.config_exchange;
   const ConfigVersion held = HeldVersion(node);
-  // A reader in touch has it within its own time of gathering.
+  // A reader that reaches the store gets the change there within its interval
+  // between reads.
   const bool is_reader =
       node.orders.Role() != ReaderRole::kTold && node.orders.InTouch();
   const auto peer = NextToQuery(exchange.fetch, HoldersOf(node), held,
@@ -66,7 +67,7 @@
   ConfigExchange& exchange = node.config_exchange;
   const TimePoint now = SteadyNow();
   ExpireCopies(exchange.in_flight, now);
-  // Whoever asks again has lost what it was sent.
+  // A node that requests again has lost the copy that was sent to it.
   exchange.in_flight.by_node.erase(from);
   auto copy = exchange.archive.CopyFor(digest);
   if (!copy || !MaySendCopy(exchange.in_flight, copy->packed.size())) {
--- a/src/edge/config_exchange.h
+++ b/src/edge/config_exchange.h
@@ -1,5 +1,5 @@
-// Configurations between nodes: asks others for a newer one, hands out the own
-// one and takes in what comes.
+// Exchange of configurations between nodes: requests a newer one from another
+// node, sends the own one on request and applies the copies that arrive.
 #ifndef TEASELSPREAD_SRC_EDGE_CONFIG_EXCHANGE_H_
 #define TEASELSPREAD_SRC_EDGE_CONFIG_EXCHANGE_H_
 
@@ -14,13 +14,13 @@
 
 struct EdgeNode;
 
-// How copies fare, for the metrics.
+// Events of the exchange, counted for the metrics.
 enum class CopyEvent : std::uint8_t {
   kRequested,
   kSent,
   kTooManyInFlight,
   kApplied,
-  // A copy of a version that was held by then.
+  // The version, or a newer one, was already held when the copy arrived.
   kNotNeeded,
   kUnreadable,
   kCount,
@@ -34,16 +34,16 @@
   ConfigArchive archive;
   FetchState fetch;
   CopiesInFlight in_flight;
-  // The last copy could not be read: the next one has to be whole.
+  // The last copy could not be unpacked, so the next one has to be whole.
   bool request_whole = false;
   CounterTable<CopyEvent> counters;
 };
 
-// Asks the best node in touch, if one holds a newer configuration and no other
-// owes an answer.
+// Queries the best connected node, if one holds a newer configuration and no
+// response is awaited from another.
 void FetchNewerConfig(EdgeNode& node);
 
-// Answer to a node that holds the record with this digest.
+// The response to node `from`, which holds the record with this digest.
 [[nodiscard]] LinkFrame RespondToConfigRequest(EdgeNode& node,
                                                const std::string& from,
                                                std::uint64_t digest);
@@ -51,10 +51,10 @@
 void OnConfigCopy(EdgeNode& node,
                   const std::string& from,
                   const ConfigFrame& copy);
-// `from` sends no copy to this node now.
+// `from` refuses to send a copy now, or ignored the request.
 void OnConfigBusy(EdgeNode& node, const std::string& from);
 
-// `peer` told its status.
+// `peer` reported in its status that it holds `held`.
 void OnPeerVersion(EdgeNode& node, const std::string& peer, ConfigVersion held);
 void OnPeerLost(EdgeNode& node, const std::string& peer);
 
--- a/src/edge/config_fetch.cc
+++ b/src/edge/config_fetch.cc
@@ -9,16 +9,18 @@
 namespace teaselspread {
 namespace {
 
-// The readers of the own data centre usually have a change sooner, and bytes
-// from the store cost less than those between data centres. A configuration has
+// During this time nodes query only their own data centre, and readers wait for
+// the store: readers usually have a change sooner, and bytes from the store
+// cost less than those between data centres. Bounded, since a configuration has
 // to be in force two seconds after its acknowledgement.
 constexpr Duration kReaderHeadStart = std::chrono::milliseconds(800);
-// A node with too many copies under way has got rid of some of them by then.
+// By then a node with too many copies in flight has completed some of them.
 constexpr Duration kBusyBackoff = std::chrono::milliseconds(150);
-// Bytes of copies under way from one node: less than half a second of the
-// narrowest lines in use.
+// Maximum bytes of copies in flight from one node: less than half a second on
+// the slowest lines in use.
 constexpr std::size_t kMaxBytesInFlight = 512U << 10U;
-// A copy that its receiver has not told to hold by then was lost with its link.
+// A copy whose receiver has not reported to hold it by then was lost with its
+// link.
 constexpr Duration kCopyTimeout = std::chrono::seconds(2);
 
 bool IsBusy(const FetchState& state, std::string_view node, TimePoint now) {
--- a/src/edge/config_fetch.h
+++ b/src/edge/config_fetch.h
@@ -1,11 +1,11 @@
-// Whom a node asks for a configuration that is newer than its own, and when.
+// From which node, and when, a node requests a configuration that is newer than
+// its own.
 //
-// One copy is asked for at a time, and no clock ends the wait for it: a copy
-// that is under way over a narrow line is not lost, and a second one would make
-// both late. It is lost when its link is, or when the node has answered what
-// was sent after the question.
+// One copy is requested at a time, without a time-out: a copy on a slow line is
+// not lost, and a second one would delay both. It counts as lost when its link
+// is lost, or when the node has responded to a later message on that link.
 //
-// Pure: the caller passes time and chance in. Not thread safe.
+// Pure: the caller passes the time and the random generator. Not thread safe.
 #ifndef TEASELSPREAD_SRC_EDGE_CONFIG_FETCH_H_
 #define TEASELSPREAD_SRC_EDGE_CONFIG_FETCH_H_
 
@@ -21,29 +21,28 @@
 
 namespace teaselspread {
 
-// A node in touch, and what it tells.
+// A connected node and the configuration that it reports.
 struct ConfigHolder {
   std::string_view node;
   ConfigVersion held = 0;
-  // Of the own data centre.
   bool in_own_data_center = false;
 };
 
 struct FetchState {
-  // The node that owes an answer; empty when none does.
+  // The node whose response is awaited; empty when there is none.
   std::string queried;
-  // For the log.
+  // Used for the log only.
   TimePoint queried_at;
-  // When somebody was first seen to hold a newer one; the epoch while nobody
-  // does.
+  // When a node was first seen to hold a newer configuration; the clock's epoch
+  // while none does.
   TimePoint newer_seen_at;
-  // Until when nodes that had too many copies under way are left alone.
+  // Nodes that had too many copies in flight, and until when not to query them.
   std::map<std::string, TimePoint, std::less<>> busy_until;
 };
 
-// The node to ask now, which then owes an answer; none when this node has to
-// wait, or nobody holds more than `held`. `reads`: this node reads the
-// operators' stream and may expect to have it from there.
+// Chooses the node to query now and records it in `state.queried`. None when
+// this node has to wait or no node holds a version above `held`. `is_reader`:
+// this node reads the operators' stream and can expect the change from there.
 [[nodiscard]] std::optional<std::string> NextToQuery(
     FetchState& state,
     std::span<const ConfigHolder> holders,
@@ -52,20 +51,21 @@
     TimePoint now,
     Rng& rng);
 
-// `node` answered. Other nodes may be asked from now on.
+// `node` sent a copy. The next query may follow.
 void OnFetchResponse(FetchState& state, const std::string& node);
 
-// `node` sends no copy now, if it still owes one: it has too many under way, or
-// passed the question over.
+// `node` will not send the awaited copy: it has too many in flight, or it
+// ignored the request. No effect if no copy is awaited from `node`.
 void OnFetchBusy(FetchState& state, const std::string& node, TimePoint now);
 
-// The link to `node` is gone, and with it the answer.
+// The link to `node` was lost, and with it the response.
 void OnFetchLost(FetchState& state, const std::string& node);
 
-// Copies that a node has handed out and that may still be on their way.
+// Copies that a node has sent and that may still be in flight.
 //
-// All of them share one line. Some at a time get through it sooner than all at
-// once, and whoever has one can hand it on.
+// All of them share one network line. Sent a few at a time, the first ones
+// arrive sooner than if all were sent at once, and their receivers can pass
+// them on.
 struct CopiesInFlight {
   struct Copy {
     std::size_t bytes = 0;
@@ -75,15 +75,15 @@
   std::map<std::string, Copy> by_node;
 };
 
-// Whether a copy of `bytes` may be handed out now.
+// Whether a copy of `bytes` may be sent now.
 [[nodiscard]] bool MaySendCopy(const CopiesInFlight& copies, std::size_t bytes);
 
-// `node` tells that it holds `held`.
+// `node` reports that it holds `held`; its copy up to that version has arrived.
 void OnVersionHeld(CopiesInFlight& copies,
                    const std::string& node,
                    ConfigVersion held);
 
-// Forgets copies that must have come or been lost by now.
+// Drops copies that must have arrived or been lost by now.
 void ExpireCopies(CopiesInFlight& copies, TimePoint now);
 
 }  // namespace teaselspread
--- a/src/edge/edge_node.cc
+++ b/src/edge/edge_node.cc
@@ -17,17 +17,17 @@
 namespace teaselspread {
 namespace {
 
-// How often leases, settings and the stop are looked at.
+// Interval at which leases, settings and a pending stop are checked.
 constexpr std::chrono::milliseconds kTickInterval{250};
-// Whoever sends callers here asks once a second and needs two answers in a row
-// to notice a stop; until then requests still come.
+// The readiness check is polled once a second and takes two responses in a row
+// to detect a stop; until then requests still arrive.
 constexpr Duration kStopNotice = std::chrono::milliseconds(2300);
-// Before the process would be ended by force.
+// The process exits at least this long before the platform would kill it.
 constexpr Duration kStopReserve = std::chrono::milliseconds(700);
-// An upstream that has said nothing is asked for this long after the start; one
-// that starts later tells by itself.
+// An upstream that sent no heartbeat is probed for this long after the node's
+// start; one that starts later sends heartbeats by itself.
 constexpr Duration kProbeWindow = std::chrono::milliseconds(1000);
-// Remote runs have numbers of their own at the gate.
+// Marks ids of remote runs at the gate, apart from those of the entry.
 constexpr std::uint64_t kRemoteRunBit = std::uint64_t{1} << 63U;
 
 EntrySettings EntrySettingsOf(const EdgeSettings& settings) {
@@ -265,7 +265,7 @@
     return;
   }
   node.adapter.apply_agreed(*settings);
-  // Addresses that this node listens on stay: callers hold connections to them.
+  // Listening addresses do not change: callers hold connections to them.
   node.settings.service = settings->service;
   node.settings.upstream = settings->upstream;
   node.entry.SetService(settings->service);
@@ -274,8 +274,8 @@
       {{"why", why}, {"service", settings->service}});
 }
 
-// A planned stop cuts nothing: others hear of it first, callers are given time
-// to go elsewhere, and what runs ends.
+// A planned stop interrupts nothing: other nodes are notified first, callers
+// get time to go elsewhere, and running requests complete.
 void BeginStop(EdgeNode& node) {
   if (node.stopping)
     return;
@@ -289,10 +289,9 @@
   SendStatus(node);
 }
 
-// Some callers may have nowhere else to go and would keep coming until the
-// process is killed with their requests. So the doors close while there is time
-// to finish what was taken; a connection that is refused can be tried
-// elsewhere.
+// Some callers may know no other node and would send requests until the process
+// is killed with them. So intake closes while there is time to complete what
+// was accepted; a refused connection can be retried elsewhere.
 void CloseIntake(EdgeNode& node) {
   if (node.intake_closed)
     return;
@@ -378,8 +377,8 @@
       static_cast<std::uint64_t>(SystemNow().time_since_epoch().count());
   node.versions.SetLife(life);
   node.gate.SetOrigin(XXH3_64bits_withSeed(vm.data(), vm.size(), life));
-  // The version of an upstream may have become known with the change: until the
-  // choice of versions knows it too, the upstream fits no request.
+  // The change may have revealed the upstream's version. Until VersionChoice
+  // knows it too, the upstream fits no request.
   node.gate.on_status_change = [&node] {
     RefreshVersions(node);
     SendStatus(node);
--- a/src/edge/edge_node.h
+++ b/src/edge/edge_node.h
@@ -1,4 +1,4 @@
-// One node on a platform: all parts and the loop that drives them.
+// One node on a platform: its components and the event loop that drives them.
 #ifndef TEASELSPREAD_SRC_EDGE_EDGE_NODE_H_
 #define TEASELSPREAD_SRC_EDGE_EDGE_NODE_H_
 
@@ -24,7 +24,7 @@
 
 namespace teaselspread {
 
-// A run for another node: the socket that asked and its number there.
+// A run for another node: the socket of the request and its call id there.
 struct RemoteRun {
   FrameSocket* from = nullptr;
   std::uint64_t call = 0;
@@ -53,11 +53,11 @@
   boost::asio::signal_set signals;
   boost::asio::steady_timer tick_timer;
   boost::asio::steady_timer roster_timer;
-  // Runs that other nodes asked for, by their number at the gate.
+  // Runs that other nodes requested, by their id at the gate.
   std::map<std::uint64_t, RemoteRun> remote_runs;
   std::uint64_t last_remote_run = 0;
   ConfigExchange config_exchange;
-  // Told to the others with the status; refreshed with each tick.
+  // Sent to the other nodes with the status; refreshed at each tick.
   std::vector<TrialNote> trial_notes;
   bool intake_closed = false;
   bool stopping = false;
@@ -71,14 +71,14 @@
 // All counters and histograms as text for the metrics address.
 [[nodiscard]] std::string MetricsText(const EdgeNode& node);
 
-// Takes in an order of the operators, from the store or from a peer. A
+// Applies an order of the operators, from the store or from a peer. A
 // configuration that is not newer than the one in force is ignored.
 void ApplyOrder(EdgeNode& node, const StoredRecord& record);
 
-// Tells every node the present status, if it changed.
+// Sends the current status to every node, if it changed.
 void SendStatus(EdgeNode& node);
 
-// Finds the other nodes through the store, and makes this one known there.
+// Registers this node in the store and finds the other nodes there.
 void StartRoster(EdgeNode& node);
 
 }  // namespace teaselspread
--- a/src/edge/edge_settings.cc
+++ b/src/edge/edge_settings.cc
@@ -7,12 +7,10 @@
 
 using Key = SettingsKey;
 
-// In seconds.
 constexpr double kMinHeartbeatSeconds = 0.05;
 constexpr double kMaxHeartbeatSeconds = 60;
-// In Mbit/s.
 constexpr double kMaxLineMbit = 1e6;
-// Of weights and exponents; 0 switches off what a weight stands for.
+// Upper bound of weights and exponents; a weight of 0 disables its term.
 constexpr double kMaxWeight = 100;
 
 Key WeightKey(std::string_view name, double& target) {
--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -16,19 +16,19 @@
 namespace {
 
 constexpr std::int64_t kMicrosPerMilli = 1000;
-// After a route's time the answer of the upstream itself is given this long to
-// come; it says more than an answer of this node.
+// Time after the deadline during which the upstream's own response is still
+// awaited, since it says more than an error from this node.
 constexpr Duration kResponseGrace = std::chrono::milliseconds(80);
-// Gates may refuse one request this often before its caller is told to come
-// back: each refusal costs a way and says that the service is full.
+// Refusals by gates after which the request is refused to its caller: each one
+// costs a network round trip and shows that the service is full.
 constexpr int kMaxRefusals = 3;
-// Least time in which an upstream may still answer a request.
+// Minimum remaining time with which an attempt is worth making.
 constexpr Duration kMinAttemptTime = std::chrono::milliseconds(10);
-// Bytes of an answer on a route that gave none yet, and of the headers of both
-// ways.
+// Assumed bytes of a response on a route that had none yet, and of the headers
+// of request and response together.
 constexpr double kDefaultResponseBytes = 3000;
 constexpr std::size_t kHeaderBytes = 500;
-// Weight of the newest request in the usual size.
+// Weight of the newest request in the moving average of TransferBytes.
 constexpr double kNewestSizeWeight = 0.01;
 constexpr int kFirstServerError = 500;
 
@@ -42,9 +42,8 @@
   return std::chrono::milliseconds(std::min(millis, kMaxMillis));
 }
 
-// Which candidates are looked at first. With nothing else to try, a version
-// that is not the first choice is better than a refusal, and so is a link in
-// doubt.
+// Rank of a candidate, lower is better; only those of the best rank are used. A
+// spare version or a link in doubt is still better than a refusal.
 int RankOf(VersionFit fit, bool in_doubt) {
   const int spare = fit == VersionFit::kSpare ? 1 : 0;
   return spare + (in_doubt ? 2 : 0);
@@ -167,8 +166,8 @@
 RetryBudget& Entry::BudgetOf(const std::string& service) {
   const auto [found, added] = this->retry_budgets.try_emplace(service);
   RetryBudget& budget = found->second;
-  // Nodes spend without talking to each other: each has its part of what all
-  // together may spend, with a margin for windows that cut a burst in two.
+  // Nodes spend the budget without coordination, so each gets an equal part of
+  // it, with a margin for bursts that span two measurement windows.
   constexpr double kMargin = 0.7;
   const double nodes = static_cast<double>(this->links.Peers().size()) + 1;
   budget.settings.share = this->settings.retry_share * kMargin;
@@ -198,7 +197,7 @@
     candidate.failure_share = this->FailureRatio(std::string(node), now);
     candidates.push_back(candidate);
   };
-  // Keeps those of the best rank only.
+  // Whether the node may be added; clears candidates of a worse rank.
   const auto fits = [&](std::string_view node, const GateStatus& status,
                         bool in_doubt) {
     if (status.state != LeaseState::kReady || status.service != pending.service)
@@ -302,9 +301,9 @@
   RunFrame frame;
   frame.call = id;
   frame.route = pending.route->name;
-  // Without its nested call a request that has half its work behind it fails,
-  // and everything that was done for it is lost. So these go first, and wait as
-  // long as they can be of use.
+  // If a nested call fails, its half-finished request fails too and the work
+  // done for it is lost. So nested calls go first, and may wait until their
+  // deadline.
   const Priority priority =
       pending.nested ? Priority::kInternal : pending.route->priority;
   frame.priority = static_cast<std::uint8_t>(priority);
@@ -390,8 +389,8 @@
   this->SendResponse(id, std::move(result.response));
 }
 
-// Nothing ran. A gate's refusal never reached the upstream, so trying another
-// costs no budget; a refusal of the upstream itself was an arrival there.
+// The request did not run. A gate's refusal did not reach the upstream, so the
+// next attempt costs no retry budget; a refusal by the upstream itself does.
 void Entry::HandleRefusal(std::uint64_t id,
                           PendingRequest& pending,
                           ResultFrame& result) {
@@ -450,8 +449,8 @@
   failed.not_run = not_run;
   failed.idempotent = pending.route->idempotent;
   failed.attempts_made = pending.attempts;
-  // While a move runs, a repeat goes where most requests go: the answer that
-  // failed may be the new version's fault.
+  // Picks a version anew, so that most retries go where most requests go: while
+  // a move runs, the failure may be the new version's fault.
   pending.picked = this->versions.Pick(pending.service);
   failed.other_upstream = !this->CandidatesFor(pending).empty();
   failed.deadline = pending.deadline;
@@ -494,8 +493,8 @@
   this->SendError(id, ErrorKind::kTimeout, kEntryRetryAfter);
 }
 
-// What may be repeated is stopped: nobody waits for it. What may not goes on,
-// since cutting it off would leave it half done.
+// Nobody waits for the response, so an idempotent request is cancelled. Others
+// go on, since stopping them would leave their work half done.
 void Entry::OnCallerDisconnected(std::uint64_t id) {
   const auto found = this->pending_requests.find(id);
   if (found == this->pending_requests.end())
--- a/src/edge/entry.h
+++ b/src/edge/entry.h
@@ -1,5 +1,6 @@
-// The entry: takes the requests of this VM's callers, finds an upstream for
-// each and gives the answer.
+// The entry: receives requests from callers on this VM, chooses an upstream for
+// each, retries failed attempts within the retry budget and returns the
+// response.
 //
 // Everything here belongs to the thread that runs the loop.
 #ifndef TEASELSPREAD_SRC_EDGE_ENTRY_H_
@@ -33,11 +34,11 @@
 
 namespace teaselspread {
 
-// Retry-After of this node's own refusals: callers wait for a third of what
-// they have left at most.
+// Retry-After of refusals by this node itself. Callers wait for at most a third
+// of their remaining time.
 inline constexpr Duration kEntryRetryAfter = std::chrono::milliseconds(100);
 
-// One request of a caller until its final answer.
+// One request of a caller until its final response.
 struct PendingRequest {
   ExchangePtr exchange;
   SnapshotPtr snapshot;
@@ -45,44 +46,44 @@
   std::string service;
   PickedVersion picked;
   bool has_picked = false;
-  // A call that the upstream of this VM makes while it runs another request.
+  // A call that the upstream on this VM makes while it runs another request.
   bool nested = false;
   TimePoint deadline;
-  // What the caller has waited before this attempt.
+  // Estimate of how long the caller waited before it sent this request.
   Duration spent{};
   std::unique_ptr<boost::asio::steady_timer> timer;
-  // Where it is now; empty before the first attempt.
+  // Node of the current or last attempt; empty before the first.
   std::string node;
-  // Version of the upstream there, as it was known when the request was sent.
+  // Version of that node's upstream, as known when the request was sent.
   std::string version;
   bool at_own_gate = false;
   bool in_flight = false;
   TimePoint sent_at;
-  // Time at the upstream that answered last, as its gate measured it.
+  // Time at the upstream of the last result, as its gate measured it.
   Duration run_time{};
-  // Nodes that refused it or failed.
+  // Nodes that refused the request or failed to run it.
   std::vector<std::string> tried;
-  // Upstreams that it was sent to, or may have been.
+  // Attempts that reached an upstream, or may have.
   int attempts = 0;
   int refusals = 0;
-  // Why it was or was not sent once more; none before the first failure.
+  // Why it was or was not retried; none before the first failure.
   std::optional<RetryReason> retry_reason;
-  // Ready upstreams of its service that were passed over for their version when
-  // it was placed last.
+  // Ready upstreams of its service that were excluded for their version at the
+  // last placement.
   int other_versions = 0;
-  // When it was turned away because a service that it would call is short of
-  // room: the share of such requests that was turned away.
+  // For a request shed because a service that it would call lacks capacity: the
+  // fraction of such requests that is shed. Otherwise 0.
   double shed_ratio = 0;
-  // Some upstream may have run it.
+  // An upstream may have run it.
   bool may_have_run = false;
   ErrorKind last_error = ErrorKind::kNoUpstream;
   Duration retry_after{};
-  // A failure that an upstream gave, kept in case no other does better.
+  // A failed response of an upstream, returned if no later attempt succeeds.
   bool has_response = false;
   HttpResponse response;
 };
 
-// How upstreams answered this node's requests lately.
+// Recent failures of one node's upstream, for this node's requests.
 struct NodeHealth {
   double failure_ratio = 0;
   TimePoint updated_at;
@@ -117,7 +118,7 @@
   Entry(const Entry&) = delete;
   Entry& operator=(const Entry&) = delete;
 
-  // In force for every request that is taken from now on.
+  // Applies to every request that is received from now on.
   void SetSnapshot(SnapshotPtr new_snapshot);
   [[nodiscard]] const SnapshotPtr& CurrentSnapshot() const {
     return this->snapshot;
@@ -131,7 +132,7 @@
 
   // The result of a call over a link.
   void OnResult(ResultFrame result);
-  // The link to `node` is gone.
+  // The link to `node` was lost.
   void OnLinkLost(const std::string& node);
 
   [[nodiscard]] std::size_t CountPending() const {
@@ -144,11 +145,12 @@
 
  private:
   void SetTimes(PendingRequest& pending);
-  // When its answer starts to be worth less; none for routes without an aim.
+  // When the response starts to lose value; none for routes without an aim.
   [[nodiscard]] static std::optional<TimePoint> AimOf(
       const PendingRequest& pending);
   void Attempt(std::uint64_t id);
-  // True when the request was turned away for what it would call.
+  // Refuses part of the requests whose route calls a service that lacks
+  // capacity. True when this request was refused.
   bool ShedForDependency(std::uint64_t id, PendingRequest& pending);
   void SendTo(std::uint64_t id,
               PendingRequest& pending,
@@ -174,13 +176,13 @@
                                  const PendingRequest& pending);
   [[nodiscard]] const std::string& InstanceOf(const std::string& node) const;
   [[nodiscard]] const std::string& VersionOf(const Candidate& chosen) const;
-  // What an attempt at the pending node's upstream tells of its version.
+  // Records the outcome of an attempt as evidence about the upstream's version.
   void ReportOutcome(const PendingRequest& pending,
                      bool failed,
                      Duration run_time);
   void RecordOutcome(const std::string& node, bool failed);
   [[nodiscard]] PlacedRequest PlacedRequestOf(const PendingRequest& pending);
-  // Bytes that a request and its answer put on the way to another gate.
+  // Estimated bytes of the request and its response on a link to another gate.
   [[nodiscard]] std::size_t TransferBytes(const PendingRequest& pending) const;
   [[nodiscard]] double FailureRatio(const std::string& node, TimePoint now);
   [[nodiscard]] RetryBudget& BudgetOf(const std::string& service);
@@ -201,9 +203,9 @@
   std::uint64_t next_id = 1;
   std::map<std::string, WeightedTurns> turns;
   std::map<std::string, DeadlineHistory> deadline_histories;
-  // Moving average of the bytes of an answer, by route.
+  // Moving average of the response body's bytes, by route.
   std::map<std::string, double> mean_response_bytes;
-  // Moving average of the bytes that placed requests and their answers take.
+  // Moving average of TransferBytes over the requests that were placed.
   double mean_transfer_bytes = 0;
   std::map<std::string, NodeHealth> node_health;
   std::map<std::string, RetryBudget> retry_budgets;
--- a/src/edge/entry_answers.cc
+++ b/src/edge/entry_answers.cc
@@ -1,4 +1,5 @@
-// How requests end: the answer that the caller gets, and what it teaches.
+// How requests end: the response that the caller gets, and the statistics and
+// log lines that follow from it.
 #include "edge/entry.h"
 
 #include <cmath>
@@ -16,11 +17,11 @@
 constexpr std::int64_t kMicrosPerMilli = 1000;
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kPercent = 100;
-// Failures fade with this time constant, so that an upstream which was bad is
-// tried again.
+// Time constant with which failure ratios decay, so that an upstream that
+// failed is tried again.
 constexpr double kFailureDecaySeconds = 3.0;
 constexpr double kNewestOutcomeWeight = 0.15;
-// Weight of the newest answer in the mean bytes of a route's answers.
+// Weight of the newest response in the mean bytes of a route's responses.
 constexpr double kNewestResponseWeight = 0.1;
 
 std::string FormatSeconds(Duration span) {
@@ -28,7 +29,7 @@
                          static_cast<double>(span.count()) / kMicrosPerSecond);
 }
 
-// The service had no room for the request in time.
+// The service had no capacity for the request in time.
 bool IsCapacityRefusal(ErrorKind kind) {
   return kind == ErrorKind::kDeadlineTooShort ||
          kind == ErrorKind::kQueueFull || kind == ErrorKind::kQueueTimeout;
@@ -62,8 +63,8 @@
   Answer(*exchange, response);
 }
 
-// `kind` says "not run" for most refusals, which must be true of every attempt:
-// once one may have run, the answer promises nothing.
+// For most refusals `kind` means "not run", which must hold for every attempt.
+// Once one may have run, the error is kOutcomeUnknown instead.
 void Entry::SendError(std::uint64_t id, ErrorKind kind, Duration retry_after) {
   const auto found = this->pending_requests.find(id);
   PendingRequest& pending = found->second;
@@ -85,8 +86,8 @@
   Answer(*exchange, response);
 }
 
-// Calls of running requests are left out: they go before all others, so they
-// tell nothing of the room that is left.
+// Calls of running requests are not counted: they go before all others, so they
+// show nothing about the remaining capacity.
 void Entry::CountDemand(const PendingRequest& pending, bool refused) {
   if (pending.nested || pending.shed_ratio > 0)
     return;
--- a/src/edge/gate.cc
+++ b/src/edge/gate.cc
@@ -16,29 +16,31 @@
 namespace teaselspread {
 namespace {
 
-// The upstream gives its own answer at the deadline that it was told; this is
-// how much later the connection is closed instead of waiting on.
+// The upstream responds at the deadline that it was given at the latest; its
+// connection is closed this long after that.
 constexpr Duration kDeadlineGrace = std::chrono::milliseconds(60);
-// Idle connections to the upstream are used again within this time. Upstreams
-// close them after some seconds, and a request that crosses the close may or
-// may not have run.
+// Maximum idle time of an upstream connection that is reused. Upstreams close
+// idle connections after some seconds, and a request that is sent at the same
+// time may or may not have run. Hence the shorter limit for requests that are
+// not idempotent.
 constexpr Duration kMaxIdleForReuse = std::chrono::seconds(8);
 constexpr Duration kMaxIdleForReuseNonIdempotent = std::chrono::seconds(4);
-// Least Retry-After of a refusal; callers wait a third of what they have left
-// at most, so half a second would mean "never" to many.
+// Minimum Retry-After of a refusal. Callers wait for at most a third of their
+// remaining time, so after half a second many would not retry at all.
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(80);
 constexpr std::uint32_t kWarmUpStepMs = 500;
-// Connections of a crashed upstream break together, and the next one to it is
-// refused within this time.
+// When an upstream crashes, its connections break together, and the next
+// connection to it is refused within this time.
 constexpr Duration kCrashWindow = std::chrono::milliseconds(1000);
-// A connection that broke makes the node look whether the upstream is still
-// there, this often at most: each look costs the upstream a connection.
+// After a broken connection the node checks whether the upstream still listens,
+// at most once in this interval: each check costs the upstream a connection.
 constexpr Duration kMinCheckInterval = std::chrono::milliseconds(250);
-// Crashes after which a request is refused. A crash blames all that ran at the
-// upstream; those that are innocent run clean elsewhere and are cleared, so
-// three in a row without a clean run point at the request itself.
+// Crashes after which a request is refused. A crash counts against every
+// request that ran at the upstream. Those that did not cause it complete
+// elsewhere and are cleared, so three crashes without a completed run in
+// between point at the request itself.
 constexpr std::uint32_t kMaxCrashes = 3;
-// Rows told to other nodes at most.
+// Maximum number of suspect rows in a status.
 constexpr std::size_t kMaxSuspectNotes = 64;
 constexpr int kFirstSuccess = 200;
 constexpr int kFirstRedirect = 300;
@@ -62,7 +64,7 @@
   return static_cast<Priority>(std::min(rank, kLowest));
 }
 
-// What makes a request the same one when its caller sends it again.
+// Equal for a request and its retries by the same caller.
 Fingerprint FingerprintOfRun(const HttpRequest& request,
                              std::string_view caller_header) {
   const std::string_view caller = FindHeader(request.headers, caller_header);
@@ -148,7 +150,7 @@
   const auto found = this->runs.find(id);
   const TimePoint now = SteadyNow();
   if (found == this->runs.end()) {
-    // Its caller left between the decision and now; the slot is free again.
+    // Cancelled between the decision and now: releases the slot.
     this->Apply(teaselspread::Finish(this->gatekeeper, id, Duration{0}, false,
                                      now, this->rng));
     return;
@@ -196,8 +198,7 @@
     const bool says_not_run =
         !FindHeader(result.response.headers, this->names.not_run).empty();
     const bool wrong_process = status == kHttpMisdirected;
-    // A success that the upstream did not sign cannot be told from one that
-    // something on the way has made up.
+    // An unsigned success may have been forged between the upstream and here.
     const bool unsigned_success =
         status >= kFirstSuccess && status < kFirstRedirect &&
         FindHeader(result.response.headers, this->names.signature).empty();
@@ -291,8 +292,8 @@
   run.done = nullptr;
   if (run.call == nullptr)
     return;
-  // A connection that is still being made carries nothing yet; when it opens
-  // late, the request would run for nobody.
+  // A connection that is still being established has sent nothing yet. Left
+  // open, it would run the request although nobody waits for the response.
   if (!run.frame.idempotent && LoopClient::MayHaveSent(run.call))
     return;
   this->pool.Cancel(std::exchange(run.call, nullptr));
@@ -313,8 +314,8 @@
                   });
 }
 
-// Version and start of the process stay unknown until its heartbeat, which
-// replaces this report whatever its number.
+// The version and start time of the process stay unknown until its heartbeat,
+// which replaces this report whatever its sequence number.
 void Gate::OnProbeResponse(const std::string& service,
                            const HttpResponse& response) {
   constexpr int kOk = 200;
@@ -378,8 +379,8 @@
   this->CheckUpstreamListening();
 }
 
-// With little traffic nobody would try to connect, and the crash would go
-// unnoticed until the next request runs into it.
+// Without this check a crash under light traffic would go unnoticed until the
+// next request fails to connect.
 void Gate::CheckUpstreamListening() {
   const TimePoint now = SteadyNow();
   if (now - this->checked_at < kMinCheckInterval)
@@ -391,9 +392,9 @@
   });
 }
 
-// The upstream is gone right after connections broke: it has crashed, and one
-// of the requests that it ran may be why. Its caller sends it again, and each
-// upstream that runs it would crash in turn.
+// The upstream is gone right after connections broke, so it has crashed, and
+// one of the requests that it ran may be the cause. Its caller would retry it,
+// and it would crash one upstream after the other.
 void Gate::RecordCrash() {
   const TimePoint now = SteadyNow();
   std::vector<Fingerprint> blamed_runs;
@@ -461,8 +462,8 @@
   this->pool.Prune(kMaxIdleForReuse);
 }
 
-// Everything that the lease says is in force when this returns: whoever was
-// told that the upstream leaves may rely on it.
+// The lease's state has taken effect when this returns: a leave call that was
+// acknowledged can be relied on.
 void Gate::ApplyLease() {
   const TimePoint now = SteadyNow();
   const LeaseState state = StateOf(this->lease, now);
@@ -488,8 +489,8 @@
   this->on_status_change();
 }
 
-// A request that waits is refused as soon as it cannot make its deadline any
-// more, not when the deadline has passed: its caller can still use the time.
+// A waiting request is refused as soon as it can no longer meet its deadline,
+// not when the deadline has passed: its caller can still use the time.
 void Gate::ScheduleExpiry() {
   const auto next = NextExpiry(this->gatekeeper);
   if (!next || *next == this->expiry_at)
@@ -522,7 +523,7 @@
     status.service = this->lease.current->service;
     status.version = this->lease.current->version;
     status.slots = static_cast<std::uint32_t>(this->lease.current->slots);
-    // In steps: each change is told to every node.
+    // Rounded to steps, since each change is sent to every node.
     status.warm_up_ms =
         MillisOf(this->lease.warm_at - now) / kWarmUpStepMs * kWarmUpStepMs;
   }
--- a/src/edge/gate.h
+++ b/src/edge/gate.h
@@ -1,5 +1,6 @@
-// The gate of the upstream beside this node: every request to it passes here,
-// from callers of this VM and from other nodes.
+// The gate of the upstream beside this node: admission control for every
+// request to it, from callers on this VM and from other nodes. It also holds
+// the upstream's lease and tracks requests that may crash the upstream.
 //
 // Everything here belongs to the thread that runs the loop.
 #ifndef TEASELSPREAD_SRC_EDGE_GATE_H_
@@ -31,13 +32,13 @@
 
 using ResultHandler = std::function<void(ResultFrame)>;
 
-// One request between its arrival at the gate and its result.
+// One request from its arrival at the gate until its result.
 struct GateRun {
   RunFrame frame;
   ResultHandler done;
   TimePoint arrived;
   TimePoint deadline;
-  // When it was sent to the upstream; the epoch while it waits.
+  // When it was sent to the upstream; the clock's epoch while it waits.
   TimePoint started;
   LoopConnection* call = nullptr;
   std::unique_ptr<boost::asio::steady_timer> timer;
@@ -60,47 +61,50 @@
     this->pool.SetAddress(upstream);
   }
 
-  // Runs the request or says why not; `done` is called once, perhaps before
-  // this returns. Precondition: `id` is not under way.
+  // Runs the request or refuses it; `done` is called once, possibly before this
+  // returns. Precondition: no run with this `id` is in flight.
   void Run(std::uint64_t id, RunFrame frame, ResultHandler done);
 
-  // The caller has left; `done` is not called any more. What may not be
-  // repeated goes on at the upstream.
+  // The caller has left; `done` is not called any more. A request that is not
+  // idempotent continues at the upstream.
   void Cancel(std::uint64_t id);
 
-  // Asks the upstream itself who it is, while no heartbeat came. A node that
-  // was restarted beside a working upstream would otherwise refuse its requests
-  // until the next heartbeat, for up to its whole interval.
+  // Queries the upstream's health check for its identity, unless a heartbeat
+  // has come. Otherwise a node that was restarted beside a working upstream
+  // would refuse requests for up to a whole heartbeat interval.
   void Probe(const std::string& health_path, const std::string& service);
 
-  // A heartbeat; it is in force when this returns.
+  // Receives a heartbeat; it has taken effect when this returns.
   [[nodiscard]] ReportVerdict OnHeartbeat(const UpstreamReport& report);
-  // False when another process holds the lease.
+  // False when the process does not hold the lease.
   bool OnUpstreamLeaving(const LeaveCall& call);
 
-  // The node itself stops: nothing new runs, what runs goes on.
+  // The node itself stops: starts no more requests; running ones continue.
   void LeaveNode();
 
-  // Rows that this node knows of requests that may crash upstreams, for the
-  // others, and rows that another node told.
+  // This node's rows about requests that may crash upstreams, to be sent to
+  // other nodes.
   [[nodiscard]] std::vector<SuspectNote> SuspectNotes() const;
+  // Merges rows that another node sent.
   void MergeSuspectNotes(const std::vector<SuspectNote>& notes);
 
-  // Tells the crashes of this node apart from those of others and of its own
-  // earlier life. Call once, before the first run.
+  // Sets the id that distinguishes crashes counted by this process from those
+  // of other nodes and of earlier processes of this node. Call once, before the
+  // first run.
   void SetOrigin(std::uint64_t origin) { this->suspects.origin = origin; }
 
-  // Applies what has lapsed; call it a few times a second.
+  // Applies leases and suspects that have expired, refreshes the reported times
+  // and closes idle connections. Call it a few times a second.
   void Tick();
 
-  // Route of the request that runs at the upstream now and makes the call
-  // `request_id`; empty when none does. Ids of such calls begin with the id of
-  // their request and a dot, where callers use hierarchical ids; others are
-  // told from it by nothing.
+  // Route of the running request that makes the nested call `request_id`; empty
+  // when there is none. With hierarchical ids a nested call's id starts with
+  // the id of its request and a dot; nested calls with other ids are not
+  // recognised.
   [[nodiscard]] std::string_view CallingRoute(
       std::string_view request_id) const;
 
-  // Forgets what was measured of routes that are gone.
+  // Drops the measurements of routes that are not in `routes`.
   void KeepRoutes(const std::set<std::string_view>& routes) {
     KeepTimesOf(this->gatekeeper, routes);
   }
@@ -111,7 +115,7 @@
   }
   [[nodiscard]] const Gatekeeper& Keeper() const { return this->gatekeeper; }
 
-  // Called when Status() has changed in more than its load.
+  // Called when more than the load may have changed in Status().
   std::function<void()> on_status_change = [] {};
 
   LoopClient pool;
@@ -144,13 +148,13 @@
   LeaseState applied_state = LeaseState::kNone;
   std::string applied_version;
   SuspectTable suspects;
-  // Runs whose connection broke a moment ago: if the upstream turns out to be
-  // gone, one of them may have crashed it.
+  // Runs whose connection broke recently: if the upstream turns out to be gone,
+  // one of them may have crashed it.
   std::vector<std::pair<TimePoint, Fingerprint>> broken_runs;
-  // Routes of the requests at the upstream, by request id.
+  // Routes of the requests at the upstream, by X-Request-Id.
   std::map<std::string, std::string, std::less<>> running_routes;
   TimePoint checked_at;
-  // Times as they were told last, by route and over all.
+  // Times as last reported to other nodes, by route and over all routes.
   std::vector<RouteTime> reported_times;
   std::uint32_t reported_mean_ms = 0;
   bool node_leaving = false;
--- a/src/edge/move_reporter.cc
+++ b/src/edge/move_reporter.cc
@@ -6,10 +6,10 @@
 namespace teaselspread {
 namespace {
 
-// The node of the next rank writes when nothing was reported for this long: the
-// one before it may be gone or may not reach the store.
+// The node of the next rank writes if nothing was reported for this long, since
+// the one before it may be down or unable to reach the store.
 constexpr Duration kTakeoverDelay = std::chrono::milliseconds(700);
-// After a call that failed.
+// Delay before the next attempt, unless the last one wrote a report.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(250);
 
 }  // namespace
@@ -69,8 +69,8 @@
   }
 }
 
-// What the store holds is taken over first: another node may have written the
-// end of the move, and that stands.
+// Applies the store's reports first: another node may have written the end of
+// the move, which is final.
 void MoveReporter::Write(const std::string& service, const RecordPage& page) {
   this->call_in_flight = false;
   this->next_attempt = SteadyNow() + kRetryDelay;
@@ -91,8 +91,8 @@
       });
 }
 
-// After a conflict or a lost answer the next step reads again: the record may
-// stand in the store already.
+// After a conflict or a lost response the next step reads again: the store may
+// already hold the record.
 void MoveReporter::OnWritten(const MoveReport& report,
                              const AppendResult& result) {
   this->call_in_flight = false;
--- a/src/edge/move_reporter.h
+++ b/src/edge/move_reporter.h
@@ -1,4 +1,4 @@
-// Tells operators, through the store, what becomes of their moves.
+// Reports the progress of moves to operators through the store.
 //
 // Belongs to the thread that runs the loop.
 #ifndef TEASELSPREAD_SRC_EDGE_MOVE_REPORTER_H_
@@ -18,26 +18,26 @@
 
 namespace teaselspread {
 
-// One node writes at a time; the others take over when what they believe does
-// not get reported. Two that write at once are told apart by the condition of
-// the append, so that an end of a move that stands in the store is never
-// overwritten by another.
+// One node writes at a time; the next one takes over when the progress that it
+// knows of is not reported. If two write at once, the condition of the append
+// lets only one succeed, so a final state of a move in the store is never
+// overwritten by another one.
 //
 // Not thread safe.
 class MoveReporter {
  public:
-  // Precondition: both outlive the reporter.
+  // Precondition: both arguments outlive the reporter.
   MoveReporter(const EdgeAdapter& edge_adapter, VersionChoice& version_choice)
       : adapter(edge_adapter), versions(version_choice) {}
   MoveReporter(const MoveReporter&) = delete;
   MoveReporter& operator=(const MoveReporter&) = delete;
   ~MoveReporter() { *this->alive = false; }
 
-  // Reads what the store says of all moves.
+  // Reads the reports of all moves from the store.
   void Read();
 
-  // Call it a few times a second. `rank` is this node's place among those in
-  // touch, 0 for the first.
+  // Call it a few times a second. `rank` is this node's position among the
+  // connected nodes, ordered by name; 0 for the first.
   void Step(std::size_t rank);
 
  private:
@@ -47,7 +47,7 @@
 
   const EdgeAdapter& adapter;
   VersionChoice& versions;
-  // When each unreported state was first seen.
+  // Unreported progress by service, and when it was first seen.
   std::map<std::string, std::pair<MoveProgress, TimePoint>> unreported_since;
   bool call_in_flight = false;
   bool has_read = false;
--- a/src/edge/roster.cc
+++ b/src/edge/roster.cc
@@ -1,7 +1,7 @@
-// How nodes find each other: each writes one record of itself into the store
-// and reads those of the others. Whoever wrote later sees the other's record
-// and opens a link to it, and a node that is called learns of its caller, so
-// one read after the own write is enough for all to know all.
+// Node discovery: each node writes a record of itself into the store and reads
+// those of the others. Of two nodes the one that wrote later sees the other's
+// record and opens a link, which introduces it to the other. So one read after
+// its own write is enough for every pair of nodes to know each other.
 #include <chrono>
 #include <string>
 #include <utility>
@@ -18,20 +18,20 @@
 namespace teaselspread {
 namespace {
 
-// After a failed call; with all nodes of a deployment starting at once the
-// store's rate would be used up by repeats.
+// Delay after a failed call, so that the retries of a deployment whose nodes
+// all start at once do not use up the store's rate limit.
 constexpr std::chrono::milliseconds kRetryDelay{500};
-// The list is read again this often in case a node missed another's start
-// while a link between them could not be made.
+// The records are read again at this interval, in case a link could not be
+// established when another node started.
 constexpr std::chrono::seconds kReadInterval{60};
-// With nobody in touch the list is read sooner.
+// Shorter interval while no link to another node is connected.
 constexpr std::chrono::seconds kIsolatedReadInterval{3};
 
 std::string RecordOf(const Hello& self) {
   return self.data_center + " " + ToString(self.link);
 }
 
-// None for a record that is not one of ours or was removed.
+// None for a record that has been removed or has another format.
 std::optional<Hello> HelloOf(const StoredRecord& record) {
   const std::vector<std::string> parts = absl::StrSplit(record.value, ' ');
   if (parts.size() != 2)
--- a/tests/unit/config_copy_test.cc
+++ b/tests/unit/config_copy_test.cc
@@ -7,7 +7,7 @@
 namespace teaselspread {
 namespace {
 
-// Routes with names that have nothing in common, as a large deployment has.
+// Routes whose names have nothing in common, as in a large deployment.
 std::string TextOf(int routes, const std::string& extra = "") {
   std::string text = extra;
   for (int i = 0; i < routes; ++i) {
@@ -37,9 +37,9 @@
   }
 }
 
-// Guards against a change of one route that fills the narrow line of each node
-// with all the others: it has to cost what the change is worth.
-Test(config_copy, one_route_more_travels_alone) {
+// Guards against sending all routes over each node's slow line when one route
+// has changed: the copy must be about as large as the change.
+Test(config_copy, one_changed_route_sends_only_the_change) {
   constexpr std::size_t kFewBytes = 1000;
   constexpr std::size_t kMinCompressionRatio = 4;
   ConfigArchive archive;
@@ -51,8 +51,8 @@
                TextOf(4000).size() / kMinCompressionRatio);
 }
 
-// Guards against a configuration made of two: the receiver holds another record
-// than the one that the copy was packed against.
+// Guards against a mix of two configurations, when the receiver holds another
+// record than the one that the copy was packed against.
 Test(config_copy, a_copy_against_another_base_is_refused) {
   const StoredRecord record = RecordOf(TextOf(2000, "new"));
   const auto copy = PackCopy(2, record, TextOf(2000));
@@ -63,7 +63,8 @@
   cr_assert(archive.Unpack(*copy).error().kind == ErrorKind::kMissingParent);
 }
 
-// Guards against a node that ends, or fills its memory, over what a peer sent.
+// Guards against a crash or unbounded memory use on malformed bytes from a
+// peer.
 Test(config_copy, bytes_that_are_no_copy_are_refused) {
   auto copy = *PackCopy(2, RecordOf(TextOf(100)), "");
   copy.packed.resize(copy.packed.size() / 2);
@@ -74,7 +75,8 @@
   cr_assert_not(UnpackCopy(copy, "").has_value());
 }
 
-// A node that was away for long holds a record that nobody keeps any more.
+// A node that was disconnected for long holds a record that no other node keeps
+// any more.
 Test(config_copy, a_base_that_is_not_kept_gives_a_whole_copy) {
   ConfigArchive archive;
   cr_assert(archive.CopyFor(0).error().kind == ErrorKind::kNotReady);
--- a/tests/unit/config_fetch_test.cc
+++ b/tests/unit/config_fetch_test.cc
@@ -23,9 +23,9 @@
   return NextToQuery(state, holders, 1, is_reader, kStart + at, rng);
 }
 
-// Guards against a second copy while the first is on its way: it takes as long
-// as the line is narrow, not as long as somebody thought.
-Test(config_fetch, one_answer_is_owed_at_a_time) {
+// Guards against requesting a second copy while the first is in flight: on a
+// slow line a copy may take longer than any time-out allows for.
+Test(config_fetch, one_copy_is_awaited_at_a_time) {
   FetchState state;
   const std::vector<ConfigHolder> holders = {{"a", 2, true}, {"b", 2, true}};
   const auto first = Query(state, holders, Ms(0));
@@ -36,17 +36,17 @@
   cr_assert(Query(state, holders, Ms(60'000)).has_value());
 }
 
-// Guards against a node that waits for an answer that went down with its link.
-Test(config_fetch, the_answer_of_a_lost_link_is_asked_of_another) {
+// Guards against waiting forever for a response whose link was lost.
+Test(config_fetch, a_lost_link_leads_to_a_query_of_another_node) {
   FetchState state;
   cr_assert(Query(state, {{"a", 2, true}}, Ms(0)) == "a");
   OnFetchLost(state, "a");
   cr_assert(Query(state, {{"b", 2, true}}, Ms(1)) == "b");
 }
 
-// A node tells that it is busy, or answers a ping, when another one owes the
-// copy: that is no reason to ask a third one.
-Test(config_fetch, what_others_say_does_not_end_the_wait) {
+// Guards against querying a third node because a node other than the queried
+// one reports busy, responds or loses its link.
+Test(config_fetch, messages_of_other_nodes_do_not_end_the_wait) {
   FetchState state;
   cr_assert(Query(state, {{"a", 2, true}}, Ms(0)) == "a");
   OnFetchBusy(state, "b", kStart);
@@ -55,7 +55,7 @@
   cr_assert_not(Query(state, {{"c", 2, true}}, Ms(1)).has_value());
 }
 
-Test(config_fetch, a_busy_node_is_left_alone_for_a_moment) {
+Test(config_fetch, a_busy_node_is_not_queried_during_its_backoff) {
   FetchState state;
   cr_assert(Query(state, {{"a", 3, true}, {"b", 2, true}}, Ms(0)) == "a");
   OnFetchBusy(state, "a", kStart);
@@ -65,7 +65,8 @@
   cr_assert(Query(state, {{"a", 3, true}}, Ms(200)) == "a");
 }
 
-Test(config_fetch, others_are_asked_only_when_the_readers_nearby_are_late) {
+Test(config_fetch,
+     other_data_centres_are_queried_only_when_near_readers_are_late) {
   FetchState state;
   cr_assert_not(Query(state, {{"far", 2, false}}, Ms(0)).has_value());
   cr_assert(Query(state, {{"far", 2, false}}, Ms(900)) == "far");
@@ -74,9 +75,9 @@
   cr_assert(Query(reader, {{"a", 2, true}}, Ms(900), true) == "a");
 }
 
-// Nodes of one data centre behind lines of 10 Mbit/s each way, on a virtual
-// clock: one of them has a new configuration and tells so, the others fetch it
-// from whoever holds it.
+// Simulates, on a virtual clock, the nodes of one data centre behind lines of
+// 10 Mbit/s each way: one of them announces a new configuration, the others
+// fetch it from any node that holds it.
 class NarrowDataCentre {
  public:
   NarrowDataCentre(std::size_t count, std::size_t bytes, std::uint32_t seed)
@@ -87,7 +88,7 @@
     this->Schedule(TimePoint{}, [this] { this->Announce(0); });
   }
 
-  // When the last node held it, from the moment at which the first did.
+  // Time from the first node's holding it until the last one's.
   Duration Run() {
     while (!this->events.empty()) {
       const auto next = this->events.begin();
@@ -115,10 +116,10 @@
     ConfigVersion held = 1;
     FetchState fetch;
     CopiesInFlight in_flight;
-    // When its line is free, each way.
+    // When its line is free again, each way.
     TimePoint send_free_at;
     TimePoint receive_free_at;
-    // What it knows of the others.
+    // Nodes that it knows to hold the new version: index by name.
     std::map<std::string, std::size_t> holders;
   };
 
@@ -192,9 +193,9 @@
   TimePoint last_held;
 };
 
-// Guards against one node behind a narrow line that sends whole copies to all
-// of its data centre at once: the last would have it after four seconds, and a
-// configuration has to be in force everywhere two seconds after it was
+// Guards against one node behind a slow line sending whole copies to its whole
+// data centre at once: the last node would have the configuration after four
+// seconds, but it has to be in force everywhere two seconds after it was
 // acknowledged.
 Test(config_fetch, a_data_centre_behind_narrow_lines_has_it_in_time) {
   constexpr std::size_t kNodes = 24;
