--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -140,14 +140,14 @@
   if (!requested || pending.nested)
     return;
   DeadlineHistory& history = this->deadline_histories[route.name];
-  pending.spent = TimeSpent(history, *requested);
+  pending.time_waited = TimeSpent(history, *requested);
   RecordDeadline(history, *requested);
 }
 
 std::optional<TimePoint> Entry::AimOf(const PendingRequest& pending) {
   if (pending.route->aim <= Duration{0})
     return std::nullopt;
-  return pending.exchange->arrived + pending.route->aim - pending.spent;
+  return pending.exchange->arrived + pending.route->aim - pending.time_waited;
 }
 
 bool Entry::ShedForDependency(std::uint64_t id, PendingRequest& pending) {
--- a/src/edge/entry.h
+++ b/src/edge/entry.h
@@ -50,7 +50,7 @@
   bool nested = false;
   TimePoint deadline;
   // Estimate of how long the caller waited before it sent this request.
-  Duration spent{};
+  Duration time_waited{};
   std::unique_ptr<boost::asio::steady_timer> timer;
   // Node of the current or last attempt; empty before the first.
   std::string node;
--- a/src/edge/gate.h
+++ b/src/edge/gate.h
@@ -79,7 +79,8 @@
   // False when the process does not hold the lease.
   bool OnUpstreamLeaving(const LeaveCall& call);
 
-  // The node itself stops: starts no more requests; running ones continue.
+  // The node itself stops: waiting and new requests are refused, running ones
+  // continue.
   void LeaveNode();
 
   // This node's rows about requests that may crash upstreams, to be sent to
@@ -113,7 +114,9 @@
   [[nodiscard]] std::size_t CountRunning() const {
     return static_cast<std::size_t>(this->gatekeeper.running);
   }
-  [[nodiscard]] const Gatekeeper& Keeper() const { return this->gatekeeper; }
+  [[nodiscard]] const Gatekeeper& AdmissionState() const {
+    return this->gatekeeper;
+  }
 
   // Called when more than the load may have changed in Status().
   std::function<void()> on_status_change = [] {};
--- a/src/edge/metrics.cc
+++ b/src/edge/metrics.cc
@@ -69,7 +69,7 @@
   AppendTable(text, "refused_total", "reason", entry.refusals);
   AppendTable(text, "retries_total", "reason", entry.retries);
   AppendTable(text, "gate_refused_total", "reason",
-              node.gate.Keeper().refusals);
+              node.gate.AdmissionState().refusals);
   AppendTable(text, "listener_total", "event", node.outbound.counters);
   AppendTable(text, "upstream_connections_total", "event",
               node.gate.pool.counters);
