--- a/src/edge/config_exchange.h
+++ b/src/edge/config_exchange.h
@@ -1,5 +1,5 @@
-// Configurations between nodes: asks others for a newer one, hands out the own
-// one and takes in what comes.
+// Exchange of configurations between nodes: requests a newer one from another
+// node, sends the own one on request and applies the copies that arrive.
 #ifndef TEASELSPREAD_SRC_EDGE_CONFIG_EXCHANGE_H_
 #define TEASELSPREAD_SRC_EDGE_CONFIG_EXCHANGE_H_
 
@@ -14,13 +14,13 @@
 
 struct EdgeNode;
 
-// How copies fare, for the metrics.
+// Events of the exchange, counted for the metrics.
 enum class CopyEvent : std::uint8_t {
-  kAsked,
-  kHandedOut,
-  kTooManyUnderWay,
-  kTaken,
-  // A copy of a version that was held by then.
+  kRequested,
+  kSent,
+  kTooManyInFlight,
+  kApplied,
+  // The version, or a newer one, was already held when the copy arrived.
   kNotNeeded,
   kUnreadable,
   kCount,
@@ -33,27 +33,29 @@
 struct ConfigExchange {
   ConfigArchive archive;
   FetchState fetch;
-  CopiesUnderWay under_way;
-  // The last copy could not be read: the next one has to be whole.
-  bool ask_whole = false;
+  CopiesInFlight in_flight;
+  // The last copy could not be unpacked, so the next one has to be whole.
+  bool request_whole = false;
   CounterTable<CopyEvent> counters;
 };
 
-// Asks the best node in touch, if one holds a newer configuration and no other
-// owes an answer.
-void FetchNewer(EdgeNode& node);
+// Queries the best connected node, if one holds a newer configuration and no
+// response is awaited from another.
+void FetchNewerConfig(EdgeNode& node);
 
-// Answer to a node that holds the record with this digest.
-[[nodiscard]] LinkFrame AnswerAsk(EdgeNode& node,
-                                  const std::string& from,
-                                  std::uint64_t digest);
+// The response to node `from`, which holds the record with this digest.
+[[nodiscard]] LinkFrame RespondToConfigRequest(EdgeNode& node,
+                                               const std::string& from,
+                                               std::uint64_t digest);
 
-void TakeCopy(EdgeNode& node, const std::string& from, const ConfigFrame& copy);
-// `from` sends no copy to this node now.
-void TakeBusy(EdgeNode& node, const std::string& from);
+void OnConfigCopy(EdgeNode& node,
+                  const std::string& from,
+                  const ConfigFrame& copy);
+// `from` refuses to send a copy now, or ignored the request.
+void OnConfigBusy(EdgeNode& node, const std::string& from);
 
-// `peer` told its status.
-void OnPeerHolds(EdgeNode& node, const std::string& peer, ConfigVersion held);
+// `peer` reported in its status that it holds `held`.
+void OnPeerVersion(EdgeNode& node, const std::string& peer, ConfigVersion held);
 void OnPeerLost(EdgeNode& node, const std::string& peer);
 
 }  // namespace teaselspread
--- a/src/edge/move_reporter.cc
+++ b/src/edge/move_reporter.cc
@@ -6,33 +6,33 @@
 namespace teaselspread {
 namespace {
 
-// The node of the next rank writes when nothing was reported for this long: the
-// one before it may be gone or may not reach the store.
-constexpr Duration kTurnTime = std::chrono::milliseconds(700);
-// After a call that failed.
-constexpr Duration kRetryAfter = std::chrono::milliseconds(250);
+// The node of the next rank writes if nothing was reported for this long, since
+// the one before it may be down or unable to reach the store.
+constexpr Duration kTakeoverDelay = std::chrono::milliseconds(700);
+// Delay before the next attempt, unless the last one wrote a report.
+constexpr Duration kRetryDelay = std::chrono::milliseconds(250);
 
 }  // namespace
 
 void MoveReporter::Read() {
-  if (this->busy)
+  if (this->call_in_flight)
     return;
-  this->busy = true;
+  this->call_in_flight = true;
   this->adapter.store.read_newest(
       RecordStream::kReports, "",
       [this, lives = this->alive](const RecordPage& page) {
         if (!*lives)
           return;
-        this->busy = false;
-        this->next_try = SteadyNow() + kRetryAfter;
+        this->call_in_flight = false;
+        this->next_attempt = SteadyNow() + kRetryDelay;
         if (page.outcome == StoreOutcome::kOk) {
-          this->read_once = true;
-          this->TakePage(page);
+          this->has_read = true;
+          this->ApplyPage(page);
         }
       });
 }
 
-void MoveReporter::TakePage(const RecordPage& page) {
+void MoveReporter::ApplyPage(const RecordPage& page) {
   for (const StoredRecord& record : page.records) {
     if (const auto report = this->adapter.decode_report(record))
       this->versions.TakeReport(*report);
@@ -41,24 +41,24 @@
 
 void MoveReporter::Step(std::size_t rank) {
   const TimePoint now = SteadyNow();
-  if (this->busy || now < this->next_try)
+  if (this->call_in_flight || now < this->next_attempt)
     return;
-  if (!this->read_once) {
+  if (!this->has_read) {
     this->Read();
     return;
   }
   for (const auto& [service, trial] : this->versions.Trials()) {
     if (trial.reported) {
-      this->waiting.erase(service);
+      this->unreported_since.erase(service);
       continue;
     }
     const auto [found, added] =
-        this->waiting.try_emplace(service, trial.progress, now);
+        this->unreported_since.try_emplace(service, trial.progress, now);
     if (found->second.first != trial.progress)
       found->second = {trial.progress, now};
-    if (now - found->second.second < kTurnTime * rank)
+    if (now - found->second.second < kTakeoverDelay * rank)
       continue;
-    this->busy = true;
+    this->call_in_flight = true;
     this->adapter.store.read_newest(
         RecordStream::kReports, "",
         [this, lives = this->alive, service = service](const RecordPage& page) {
@@ -69,20 +69,20 @@
   }
 }
 
-// What the store holds is taken over first: another node may have written the
-// end of the move, and that stands.
+// Applies the store's reports first: another node may have written the end of
+// the move, which is final.
 void MoveReporter::Write(const std::string& service, const RecordPage& page) {
-  this->busy = false;
-  this->next_try = SteadyNow() + kRetryAfter;
+  this->call_in_flight = false;
+  this->next_attempt = SteadyNow() + kRetryDelay;
   if (page.outcome != StoreOutcome::kOk)
     return;
-  this->TakePage(page);
+  this->ApplyPage(page);
   const auto found = this->versions.Trials().find(service);
   if (found == this->versions.Trials().end() || found->second.reported)
     return;
   const VersionTrial& trial = found->second;
   const MoveReport report{service, trial.order.to, trial.progress};
-  this->busy = true;
+  this->call_in_flight = true;
   this->adapter.store.append(
       RecordStream::kReports, this->adapter.encode_report(report), page.next,
       [this, lives = this->alive, report](const AppendResult& result) {
@@ -91,11 +91,11 @@
       });
 }
 
-// After a conflict or a lost answer the next step reads again: the record may
-// stand in the store already.
+// After a conflict or a lost response the next step reads again: the store may
+// already hold the record.
 void MoveReporter::OnWritten(const MoveReport& report,
                              const AppendResult& result) {
-  this->busy = false;
+  this->call_in_flight = false;
   Log(LogLevel::kInfo, "moves", "reported",
       {{"move", report.service},
        {"to", report.to},
@@ -103,10 +103,10 @@
        {"outcome", NameOf(result.outcome)}});
   if (result.outcome == StoreOutcome::kOk) {
     this->versions.MarkReported(report.service, report.progress);
-    this->next_try = TimePoint{};
+    this->next_attempt = TimePoint{};
     return;
   }
-  this->next_try = SteadyNow() + kRetryAfter;
+  this->next_attempt = SteadyNow() + kRetryDelay;
 }
 
 }  // namespace teaselspread
