--- a/benchmark/capacity_members.h
+++ b/benchmark/capacity_members.h
@@ -18,7 +18,7 @@
 inline std::unique_ptr<test::Network> RunningNetwork(std::size_t count) {
   constexpr auto kSettle = seconds(60);
   test::NetworkSettings settings;
-  settings.through_frames = false;
+  settings.encode_messages = false;
   auto net = std::make_unique<test::Network>(settings, 1);
   for (std::size_t i = 0; i < count; ++i)
     net->Add("bole");
@@ -224,7 +224,7 @@
              node.id + "/1234567890/cases-v2/v2/case-index", std::uint64_t(at),
              std::string(std::size_t(row_bytes), 'e')},
             net->now, node.rng);
-        net->Take(row, std::move(*actions));
+        net->Execute(row, std::move(*actions));
       }
       net->Run(seconds(1));
     }
--- a/benchmark/spread_bench.cc
+++ b/benchmark/spread_bench.cc
@@ -41,7 +41,7 @@
 
 std::unique_ptr<Network> Make(std::size_t count, Way way) {
   NetworkSettings settings;
-  settings.through_frames = false;
+  settings.encode_messages = false;
   settings.delta_bytes = absl::GetFlag(FLAGS_delta_bytes);
   settings.snapshot_bytes = absl::GetFlag(FLAGS_snapshot_bytes);
   settings.full_updates = way == Way::kSnapshots;
@@ -127,7 +127,7 @@
     for (const std::size_t index : killed)
       net.Kill(index);
     PublishOne(net, times, seconds(10));
-    reached = std::min(reached, net.ShareHolding(net.log.back()));
+    reached = std::min(reached, net.FractionHolding(net.log.back()));
     for (const std::size_t index : killed)
       net.Start(index);
     net.Run(seconds(30));
--- a/include/teaselspread/order_readers.h
+++ b/include/teaselspread/order_readers.h
@@ -19,7 +19,7 @@
 
 enum class ReaderRole : std::uint8_t {
   // Others of the data centre read.
-  kTold,
+  kNonReader,
   // Reads, and asks again at long intervals while nothing is new.
   kSecond,
   // Reads, and asks again often enough to notice a store that fell silent.
--- a/include/teaselspread/record_store.h
+++ b/include/teaselspread/record_store.h
@@ -24,7 +24,7 @@
   // Nothing was done.
   kUnavailable,
   // The records that were asked for have expired.
-  kForgotten,
+  kExpired,
   // The condition of an append did not hold; nothing was done.
   kConflict,
   // No answer came.
@@ -52,9 +52,9 @@
   StoreOutcome outcome = StoreOutcome::kUnknown;
   std::vector<StoredRecord> records;
   // Where the next read goes on.
-  std::uint64_t next = 0;
+  std::uint64_t next_offset = 0;
   // For ReadNewest: ask again after the last key.
-  bool more = false;
+  bool has_more = false;
 };
 
 struct AppendResult {
@@ -78,7 +78,7 @@
       read_newest;
   // When bytes of an answer to a read of `stream` came last; the epoch before
   // the first. An answer that comes slowly is not lost. May be empty.
-  std::function<TimePoint(RecordStream stream)> heard;
+  std::function<TimePoint(RecordStream stream)> last_received;
   // Adds a record; with `expected_end` only if the stream ends there.
   std::function<void(RecordStream stream,
                      const StoredRecord& record,
--- a/include/teaselspread/spread.h
+++ b/include/teaselspread/spread.h
@@ -35,7 +35,7 @@
   // that it has reached the log's end lately. Readers say so every
   // `heartbeat_interval`.
   std::size_t standbys = 2;
-  Duration standby_patience = std::chrono::milliseconds(1200);
+  Duration standby_timeout = std::chrono::milliseconds(1200);
   Duration heartbeat_interval = std::chrono::milliseconds(400);
   // A starting node waits this long before it counts itself as a reader: with
   // an empty member list each node of a returning herd would be one.
@@ -56,19 +56,19 @@
   std::size_t witnesses = 3;
   Duration record_retry = std::chrono::milliseconds(200);
   // After this time a version read from the log itself is held without them.
-  Duration record_patience = std::chrono::seconds(3);
-  Duration record_repair = std::chrono::seconds(2);
+  Duration record_timeout = std::chrono::seconds(3);
+  Duration record_repair_interval = std::chrono::seconds(2);
   Duration floor_retry = std::chrono::milliseconds(500);
   Duration notice_interval = std::chrono::seconds(1);
   std::size_t notice_fan_out = 3;
   // Deltas kept for others.
-  std::size_t chain_length = 256;
-  std::size_t chain_bytes = 1U << 20;
+  std::size_t max_kept_deltas = 256;
+  std::size_t max_kept_delta_bytes = 1U << 20;
   // A gone member's highest version is kept this long.
-  Duration remember = std::chrono::hours(24);
+  Duration gone_member_retention = std::chrono::hours(24);
   // A timer this late means a pause: do not vouch for a while.
   Duration pause_threshold = std::chrono::milliseconds(700);
-  Duration doubt_time = std::chrono::seconds(5);
+  Duration vouch_suspension = std::chrono::seconds(5);
   // Some control addresses of each other data centre, by its name.
   std::map<std::string, std::vector<Address>> remotes;
 };
@@ -80,7 +80,7 @@
   kPushDuplicate,
   kPullSent,
   kPullTimeout,
-  kPullBusyHeard,
+  kPullBusyReceived,
   kPullBusySent,
   kChainServed,
   kSnapshotServed,
@@ -88,12 +88,12 @@
   kUpdateRejected,
   kAppliedUnwitnessed,
   kVouchRefused,
-  kPauseNoticed,
+  kPauseDetected,
   kCount
 };
 
 // Stable label of the counter. Thread safe.
-[[nodiscard]] std::string_view NameOf(SpreadCount reason);
+[[nodiscard]] std::string_view NameOf(SpreadCount counter);
 
 struct SpreadPeer {
   std::string id;
@@ -105,10 +105,10 @@
   // What the running start last said that it holds.
   ConfigVersion held = 0;
   // Highest version that any start of it is known to have held.
-  ConfigVersion remembered = 0;
+  ConfigVersion highest_held = 0;
   // This node was settled when it first heard of the peer. Otherwise earlier
   // starts of it may have been missed.
-  bool first_seen_settled = false;
+  bool settled_when_first_seen = false;
   // The peer itself named this node as its witness.
   bool recorded = false;
   TimePoint gone_since;
@@ -132,7 +132,7 @@
   ConfigVersion version = 0;
   TimePoint started;
   TimePoint due;
-  std::size_t asked = 0;
+  std::size_t witnesses_asked = 0;
   std::set<std::string> acks;
 };
 
@@ -172,18 +172,18 @@
   std::size_t update_bytes = 0;
   // Handed out to be applied; 0 when none.
   ConfigVersion applying = 0;
-  std::set<ConfigVersion> from_log;
+  std::set<ConfigVersion> versions_from_log;
 
-  Freshness pending_fresh;
+  Freshness pending_freshness;
   TimePoint fresh_as_of;
 
   // Never-back after a restart.
   bool floor_settled = false;
   ConfigVersion floor = 0;
-  std::map<std::uint32_t, TimePoint> floor_asked;
+  std::map<std::uint32_t, TimePoint> floor_queries;
   std::map<std::string, ConfigVersion> vouches;
   std::uint32_t next_sequence = 1;
-  TimePoint next_floor_ask;
+  TimePoint next_floor_query;
 
   std::optional<Recording> recording;
   std::map<std::string, WitnessAck> witness_acks;
@@ -194,25 +194,25 @@
   // The deltas at hand did not apply: the next pull asks for a snapshot.
   bool snapshot_wanted = false;
   // Highest version heard of, here or in another data centre.
-  ConfigVersion highest_heard = 0;
+  ConfigVersion highest_known = 0;
   std::optional<std::pair<Address, ConfigVersion>> remote_source;
   // When each running transfer is over.
-  std::vector<TimePoint> transfers;
+  std::vector<TimePoint> transfer_ends;
 
   std::map<std::string, std::vector<SpeakerAddress>> remote_speakers;
   std::map<std::uint32_t, TimePoint> notices_sent;
   TimePoint next_notice;
 
   // Place among the live members by reader rank; 0 is the first reader.
-  std::size_t reader_place = 0;
+  std::size_t reader_position = 0;
   // When a reader with a fresh view of the log was last heard.
-  TimePoint reader_heard;
+  TimePoint last_reader_heartbeat;
   TimePoint next_heartbeat;
   bool was_reader = false;
   bool was_ready = false;
-  TimePoint latest;
+  TimePoint latest_now;
   TimePoint expected_wake;
-  TimePoint doubt_until;
+  TimePoint vouch_suspended_until;
   std::array<std::uint64_t, static_cast<std::size_t>(SpreadCount::kCount)>
       counts{};
 };
@@ -266,17 +266,20 @@
 // Bytes of a stream that is not whole yet came from the IP number `host`. An
 // answer of which bytes come is waited for: asked for again, it would share a
 // narrow line with its own repeats, and all of them would come later.
-void HearStream(SpreadState& state, std::string_view host, TimePoint now);
+void ObserveStreamBytes(SpreadState& state,
+                        std::string_view host,
+                        TimePoint now);
 
 // A read of the log by a reader: the accepted updates found, in order (a
 // checkpoint is a full one). `reached_end`: nothing was left to read at
 // `read_started`, which is the local time before the read was sent.
-[[nodiscard]] SpreadActions LogRead(SpreadState& state,
-                                    const std::vector<ConfigUpdate>& updates,
-                                    TimePoint read_started,
-                                    bool reached_end,
-                                    TimePoint now,
-                                    Rng& rng);
+[[nodiscard]] SpreadActions ObserveLogRead(
+    SpreadState& state,
+    const std::vector<ConfigUpdate>& updates,
+    TimePoint read_started,
+    bool reached_end,
+    TimePoint now,
+    Rng& rng);
 
 // The handed out updates are in force; `full` is the whole configuration of
 // that version, kept to serve others. Precondition: full.full.
--- a/src/edge/config_exchange.cc
+++ b/src/edge/config_exchange.cc
@@ -45,7 +45,7 @@
   const ConfigVersion held = HeldVersion(node);
   // A reader in touch has it within its own time of gathering.
   const bool reads =
-      node.orders.Role() != ReaderRole::kTold && node.orders.InTouch();
+      node.orders.Role() != ReaderRole::kNonReader && node.orders.InTouch();
   const auto peer = NextToAsk(exchange.fetch, HoldersOf(node), held, reads,
                               SteadyNow(), node.rng);
   if (!peer)
--- a/src/edge/move_reporter.cc
+++ b/src/edge/move_reporter.cc
@@ -84,7 +84,8 @@
   const MoveReport report{service, trial.order.to, trial.progress};
   this->busy = true;
   this->adapter.store.append(
-      RecordStream::kReports, this->adapter.encode_report(report), page.next,
+      RecordStream::kReports, this->adapter.encode_report(report),
+      page.next_offset,
       [this, lives = this->alive, report](const AppendResult& result) {
         if (*lives)
           this->OnWritten(report, result);
--- a/src/edge/roster.cc
+++ b/src/edge/roster.cc
@@ -75,7 +75,7 @@
           if (const auto hello = HelloOf(record))
             node.links.Add(*hello);
         }
-        if (page.more && !page.records.empty()) {
+        if (page.has_more && !page.records.empty()) {
           ReadPage(node, page.records.back().key);
           return;
         }
--- a/src/edge/stream_watch.cc
+++ b/src/edge/stream_watch.cc
@@ -56,7 +56,7 @@
 }
 
 bool StreamWatch::Follows() const {
-  return this->role != ReaderRole::kTold;
+  return this->role != ReaderRole::kNonReader;
 }
 
 void StreamWatch::Later(Duration wait, std::function<void()> task) {
@@ -111,9 +111,9 @@
 // Bytes of the answer still come: asked again they would share the line with
 // another copy of themselves.
 std::optional<Duration> StreamWatch::UntilSilent() const {
-  if (!this->store.heard)
+  if (!this->store.last_received)
     return std::nullopt;
-  const Duration silent = SteadyNow() - this->store.heard(this->stream);
+  const Duration silent = SteadyNow() - this->store.last_received(this->stream);
   if (silent >= kOverdueAfter)
     return std::nullopt;
   return kOverdueAfter - silent;
@@ -154,7 +154,7 @@
       this->OnNewest(page);
     return;
   }
-  if (page.outcome != StoreOutcome::kForgotten) {
+  if (page.outcome != StoreOutcome::kExpired) {
     this->OnFailure(page.outcome);
     return;
   }
@@ -184,9 +184,9 @@
     this->on_record(record);
   // Pages are not read at one moment: what changed meanwhile is read again
   // from the end that the first page named.
-  if (this->next == 0 || page.next < this->next)
-    this->next = page.next;
-  if (page.more && !page.records.empty()) {
+  if (this->next == 0 || page.next_offset < this->next)
+    this->next = page.next_offset;
+  if (page.has_more && !page.records.empty()) {
     this->after = page.records.back().key;
     this->Attempt();
     return;
@@ -211,7 +211,7 @@
 
 void StreamWatch::OnMore(const RecordPage& page) {
   this->TakeNewest(page.records);
-  this->next = page.next;
+  this->next = page.next_offset;
   if (!this->Follows())
     return;
   if (page.records.empty()) {
--- a/src/node/pages.cc
+++ b/src/node/pages.cc
@@ -59,7 +59,7 @@
                 ",\"floor\":", spread.floor,
                 ",\"ready\":", IsReady(spread) ? "true" : "false",
                 ",\"reader\":", node.config.reader ? "true" : "false",
-                ",\"highest_heard\":", spread.highest_heard, ",\n\"members\":[",
+                ",\"highest_heard\":", spread.highest_known, ",\n\"members\":[",
                 members, "]}\n");
 }
 
--- a/src/node/spread_service.cc
+++ b/src/node/spread_service.cc
@@ -95,11 +95,11 @@
     Perform(kernel, service,
             ReceiveSpread(state, frame.message, kernel.Now(), rng));
   });
-  kernel.Register<StreamBytesCame>(kSpreadService,
-                                   [&](const StreamBytesCame& came) {
-                                     HearStream(state, came.host, kernel.Now());
-                                     SetWake(kernel, service);
-                                   });
+  kernel.Register<StreamBytesCame>(
+      kSpreadService, [&](const StreamBytesCame& came) {
+        ObserveStreamBytes(state, came.host, kernel.Now());
+        SetWake(kernel, service);
+      });
   kernel.Register<IncarnationChanged>(
       kSpreadService, [&](const IncarnationChanged& changed) {
         SetIncarnation(state, changed.incarnation);
@@ -116,8 +116,8 @@
       });
   kernel.Register<LogFindings>(kSpreadService, [&](const LogFindings& found) {
     Perform(kernel, service,
-            LogRead(state, found.updates, found.read_started, found.reached_end,
-                    kernel.Now(), rng));
+            ObserveLogRead(state, found.updates, found.read_started,
+                           found.reached_end, kernel.Now(), rng));
   });
   kernel.Register<UpdatesApplied>(
       kSpreadService, [&](const UpdatesApplied& applied) {
--- a/src/spread/base.cc
+++ b/src/spread/base.cc
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-std::string_view NameOf(SpreadCount reason) {
-  return kCountNames.at(static_cast<std::size_t>(reason));
+std::string_view NameOf(SpreadCount counter) {
+  return kCountNames.at(static_cast<std::size_t>(counter));
 }
 
 Sender SenderOf(const SpreadState& state, TimePoint now) {
@@ -60,14 +60,14 @@
 bool IsReader(const SpreadState& state, TimePoint now) {
   if (state.leaving || now < state.started + state.settings.reader_delay)
     return false;
-  const std::size_t place = state.reader_place;
+  const std::size_t place = state.reader_position;
   const SpreadSettings& settings = state.settings;
   if (place < settings.readers)
     return true;
   // Readers that died, or that alone lost the log, are noticed here long before
   // the failure detector is sure of it.
   return place < settings.readers + settings.standbys &&
-         now - state.reader_heard >= settings.standby_patience;
+         now - state.last_reader_heartbeat >= settings.standby_timeout;
 }
 
 bool IsReady(const SpreadState& state) {
@@ -76,8 +76,8 @@
 
 namespace spread {
 
-void Count(SpreadState& state, SpreadCount reason) {
-  ++state.counts.at(static_cast<std::size_t>(reason));
+void Count(SpreadState& state, SpreadCount counter) {
+  ++state.counts.at(static_cast<std::size_t>(counter));
 }
 
 bool IsLive(const SpreadPeer& peer) {
--- a/src/spread/floor.cc
+++ b/src/spread/floor.cc
@@ -7,22 +7,22 @@
 
 // Vouches needed: two of three witnesses, so that any two that confirmed a
 // version and any two that are asked have one in common.
-constexpr std::size_t kVouchesNeeded = 2;
-constexpr std::size_t kQueriesRemembered = 8;
+constexpr std::size_t kMinVouches = 2;
+constexpr std::size_t kMaxFloorQueries = 8;
 
-void Settle(Call& call, ConfigVersion floor) {
+void SettleFloor(Call& call, ConfigVersion floor) {
   SpreadState& state = call.state;
   state.floor = std::max(state.floor, floor);
   state.floor_settled = true;
-  state.floor_asked.clear();
+  state.floor_queries.clear();
   if (state.floor > TipOf(state))
-    WantVersion(call, state.floor);
+    PullIfBehind(call, state.floor);
   Advance(call);
 }
 
 // A side of a cut that has lost most members cannot know what the others have
 // told their witnesses since.
-bool HearsMost(const SpreadState& state) {
+bool SeesMajority(const SpreadState& state) {
   std::size_t live = 1;
   std::size_t known = 1;
   for (const auto& [id, peer] : state.peers) {
@@ -35,58 +35,59 @@
 }
 
 Vouch VouchFor(const SpreadState& state,
-               const Sender& asker,
+               const Sender& requester,
                const SpreadPeer* peer,
                TimePoint now) {
-  if (!state.floor_settled || now < state.doubt_until || !HearsMost(state))
+  if (!state.floor_settled || now < state.vouch_suspended_until ||
+      !SeesMajority(state))
     return Vouch::kNone;
-  const bool one_start =
-      peer == nullptr || (peer->first_seen_settled &&
-                          peer->first_start == StartOf(asker.incarnation));
-  if (one_start)
+  const bool is_first_start =
+      peer == nullptr || (peer->settled_when_first_seen &&
+                          peer->first_start == StartOf(requester.incarnation));
+  if (is_first_start)
     return Vouch::kNewVm;
   return peer->recorded ? Vouch::kRecorded : Vouch::kNone;
 }
 
-void Ask(Call& call, const SpreadPeer& peer) {
+void SendFloorQuery(Call& call, const SpreadPeer& peer) {
   Send(call, peer.control,
        FloorQuery{SenderOf(call.state, call.now), call.state.next_sequence});
 }
 
 }  // namespace
 
-void NoteFresh(Call& call, ConfigVersion version, TimePoint as_of) {
+void UpdateFreshness(Call& call, ConfigVersion version, TimePoint as_of) {
   SpreadState& state = call.state;
   if (state.held >= version)
     state.fresh_as_of = std::max(state.fresh_as_of, as_of);
-  else if (as_of > state.pending_fresh.as_of)
-    state.pending_fresh = {version, as_of};
+  else if (as_of > state.pending_freshness.as_of)
+    state.pending_freshness = {version, as_of};
   // Whatever this VM held before its restart was in the log by then.
   if (!state.floor_settled && as_of >= state.started)
-    Settle(call, version);
+    SettleFloor(call, version);
 }
 
 void TickFloor(Call& call) {
   SpreadState& state = call.state;
-  if (state.floor_settled || call.now < state.next_floor_ask)
+  if (state.floor_settled || call.now < state.next_floor_query)
     return;
-  state.next_floor_ask = call.now + state.settings.floor_retry / 2 +
-                         RandomUpTo(state.settings.floor_retry, call.rng);
-  state.floor_asked[state.next_sequence] = call.now;
-  while (state.floor_asked.size() > kQueriesRemembered)
-    state.floor_asked.erase(state.floor_asked.begin());
+  state.next_floor_query = call.now + state.settings.floor_retry / 2 +
+                           RandomUpTo(state.settings.floor_retry, call.rng);
+  state.floor_queries[state.next_sequence] = call.now;
+  while (state.floor_queries.size() > kMaxFloorQueries)
+    state.floor_queries.erase(state.floor_queries.begin());
   // Gone ones keep their place: if the two that were told are gone, others
   // must not be taken for them.
-  std::set<std::string> asked;
+  std::set<std::string> queried;
   for (const SpreadPeer* peer :
        RankedWitnesses(state, state.settings.witnesses, true)) {
-    if (IsLive(*peer) && asked.insert(peer->id).second)
-      Ask(call, *peer);
+    if (IsLive(*peer) && queried.insert(peer->id).second)
+      SendFloorQuery(call, *peer);
   }
   for (const std::string& reader : ReadersOf(state)) {
     const auto peer = state.peers.find(reader);
-    if (peer != state.peers.end() && asked.insert(reader).second)
-      Ask(call, peer->second);
+    if (peer != state.peers.end() && queried.insert(reader).second)
+      SendFloorQuery(call, peer->second);
   }
   ++state.next_sequence;
 }
@@ -100,7 +101,7 @@
   reply.from = SenderOf(state, call.now);
   reply.sequence = query.sequence;
   reply.vouch = VouchFor(state, query.from, peer, call.now);
-  reply.floor = std::max(state.held, peer == nullptr ? 0 : peer->remembered);
+  reply.floor = std::max(state.held, peer == nullptr ? 0 : peer->highest_held);
   if (reply.vouch == Vouch::kNone)
     Count(state, SpreadCount::kVouchRefused);
   Send(call, query.from.control, reply);
@@ -108,14 +109,15 @@
 
 void ReceiveFloorReply(Call& call, const FloorReply& reply) {
   SpreadState& state = call.state;
-  const auto asked = state.floor_asked.find(reply.sequence);
-  if (state.floor_settled || asked == state.floor_asked.end())
+  const auto query_sent = state.floor_queries.find(reply.sequence);
+  if (state.floor_settled || query_sent == state.floor_queries.end())
     return;
   // Even a reply that vouches for nothing may name a version to reach.
   state.floor = std::max(state.floor, reply.floor);
   if (reply.from.log_age_ms != kAgeUnknown) {
-    NoteFresh(call, reply.from.held,
-              asked->second - std::chrono::milliseconds(reply.from.log_age_ms));
+    UpdateFreshness(
+        call, reply.from.held,
+        query_sent->second - std::chrono::milliseconds(reply.from.log_age_ms));
     if (state.floor_settled)
       return;
   }
@@ -131,8 +133,8 @@
   std::size_t vouched = 0;
   for (const SpreadPeer* peer : witnesses)
     vouched += state.vouches.contains(peer->id) ? 1 : 0;
-  if (vouched >= kVouchesNeeded)
-    Settle(call, state.floor);
+  if (vouched >= kMinVouches)
+    SettleFloor(call, state.floor);
 }
 
 }  // namespace teaselspread::spread
--- a/src/spread/internal.h
+++ b/src/spread/internal.h
@@ -19,13 +19,13 @@
 };
 
 // How an update came here decides who is told of it.
-enum class Path : std::uint8_t { kTree, kLog, kRemote, kPull };
+enum class UpdateSource : std::uint8_t { kTree, kLog, kRemote, kPull };
 
 // Ranks a node as reader: any fixed number, the same on all nodes.
 inline constexpr std::uint64_t kReaderSeed = 0x72656164;
 
 // base
-void Count(SpreadState& state, SpreadCount reason);
+void Count(SpreadState& state, SpreadCount counter);
 [[nodiscard]] bool IsLive(const SpreadPeer& peer);
 [[nodiscard]] Duration RandomUpTo(Duration limit, Rng& rng);
 void Send(Call& call, const Address& to, Message message);
@@ -47,16 +47,17 @@
 // Keeps `update`; true when it is new and above what is held.
 bool Store(Call& call, const ConfigUpdate& update);
 // Deltas from `have` up to what is held, or the snapshot.
-[[nodiscard]] std::vector<ConfigUpdate> CollectFor(const SpreadState& state,
-                                                   ConfigVersion have);
+[[nodiscard]] std::vector<ConfigUpdate> CollectUpdatesSince(
+    const SpreadState& state,
+    ConfigVersion have);
 [[nodiscard]] std::vector<ConfigUpdate> CollectToApply(const SpreadState& state,
                                                        ConfigVersion up_to);
 // Starts recording or handing out whatever can be.
 void Advance(Call& call);
-void Learn(Call& call, const ConfigUpdate& update, Path path);
+void HandleUpdate(Call& call, const ConfigUpdate& update, UpdateSource source);
 
 // push
-void StartOrigin(Call& call, ConfigVersion version);
+void StartPush(Call& call, ConfigVersion version);
 void ForwardToChildren(Call& call, ConfigVersion version);
 void ReceivePush(Call& call, const Push& push);
 void ReceivePushAck(Call& call, const PushAck& ack);
@@ -66,7 +67,7 @@
 // How long a transfer of `bytes` takes at the rate that a node allows itself.
 [[nodiscard]] Duration TransferTime(const SpreadState& state,
                                     std::size_t bytes);
-void WantVersion(Call& call, ConfigVersion version);
+void PullIfBehind(Call& call, ConfigVersion version);
 void SchedulePull(Call& call, Duration delay);
 void TickPull(Call& call);
 void ReceivePullRequest(Call& call, const PullRequest& request);
@@ -80,7 +81,7 @@
 void ReceiveRecordAck(Call& call, const RecordAck& ack);
 
 // floor
-void NoteFresh(Call& call, ConfigVersion version, TimePoint as_of);
+void UpdateFreshness(Call& call, ConfigVersion version, TimePoint as_of);
 void TickFloor(Call& call);
 void ReceiveFloorQuery(Call& call, const FloorQuery& query);
 void ReceiveFloorReply(Call& call, const FloorReply& reply);
--- a/src/spread/notice.cc
+++ b/src/spread/notice.cc
@@ -6,17 +6,17 @@
 namespace teaselspread::spread {
 namespace {
 
-constexpr std::size_t kNoticesRemembered = 16;
+constexpr std::size_t kMaxNoticesSent = 16;
 // One notice in this many goes to a configured address instead of a learned
 // one, so that a data centre whose speakers have all changed is found again.
-constexpr unsigned kSeedOneIn = 4;
+constexpr unsigned kConfiguredAddressOneIn = 4;
 
 std::optional<Address> PickAddress(Call& call, const std::string& name) {
   const SpreadState& state = call.state;
   std::vector<Address> choices;
   const auto learned = state.remote_speakers.find(name);
-  const bool use_learned =
-      learned != state.remote_speakers.end() && call.rng() % kSeedOneIn != 0;
+  const bool use_learned = learned != state.remote_speakers.end() &&
+                           call.rng() % kConfiguredAddressOneIn != 0;
   if (use_learned) {
     for (const SpeakerAddress& speaker : learned->second)
       choices.push_back(speaker.control);
@@ -48,7 +48,7 @@
 }
 
 // A version counts as fresh for this long after the read that proved it.
-constexpr std::uint32_t kFreshMillis = 1000;
+constexpr std::uint32_t kMaxFreshAgeMs = 1000;
 
 }  // namespace
 
@@ -57,7 +57,7 @@
   if (call.now < state.next_heartbeat)
     return;
   state.next_heartbeat = call.now + state.settings.heartbeat_interval;
-  if (state.reader_place >= state.settings.readers ||
+  if (state.reader_position >= state.settings.readers ||
       !IsReader(state, call.now))
     return;
   for (const std::string& id : ReadersOf(state, true)) {
@@ -84,7 +84,7 @@
   names.resize(std::min(names.size(), state.settings.notice_fan_out));
   const std::uint32_t sequence = state.next_sequence++;
   state.notices_sent[sequence] = call.now;
-  while (state.notices_sent.size() > kNoticesRemembered)
+  while (state.notices_sent.size() > kMaxNoticesSent)
     state.notices_sent.erase(state.notices_sent.begin());
   for (const std::string& name : names) {
     if (const std::optional<Address> to = PickAddress(call, name))
@@ -95,8 +95,8 @@
 void ReceiveNotice(Call& call, const VersionNotice& notice) {
   SpreadState& state = call.state;
   if (notice.data_center == state.data_center) {
-    if (notice.from.log_age_ms <= kFreshMillis)
-      state.reader_heard = call.now;
+    if (notice.from.log_age_ms <= kMaxFreshAgeMs)
+      state.last_reader_heartbeat = call.now;
     return;
   }
   if (state.settings.remotes.contains(notice.data_center))
@@ -106,13 +106,14 @@
   const auto sent = state.notices_sent.find(notice.sequence);
   if (notice.reply && sent != state.notices_sent.end() &&
       notice.from.log_age_ms != kAgeUnknown) {
-    NoteFresh(call, notice.from.held,
-              sent->second - std::chrono::milliseconds(notice.from.log_age_ms));
+    UpdateFreshness(
+        call, notice.from.held,
+        sent->second - std::chrono::milliseconds(notice.from.log_age_ms));
   }
   if (notice.from.held <= TipOf(state))
     return;
   state.remote_source = {notice.from.control, notice.from.held};
-  state.highest_heard = std::max(state.highest_heard, notice.from.held);
+  state.highest_known = std::max(state.highest_known, notice.from.held);
   SchedulePull(call, Duration::zero());
 }
 
--- a/src/spread/pull.cc
+++ b/src/spread/pull.cc
@@ -6,7 +6,7 @@
 namespace teaselspread::spread {
 namespace {
 
-constexpr Duration kShortestTransfer = std::chrono::milliseconds(5);
+constexpr Duration kMinTransferTime = std::chrono::milliseconds(5);
 
 struct Target {
   Address address;
@@ -41,15 +41,15 @@
 }  // namespace
 
 Duration TransferTime(const SpreadState& state, std::size_t bytes) {
-  constexpr std::size_t kMicros = 1000000;
+  constexpr std::size_t kMicrosPerSecond = 1000000;
   const Duration exact{static_cast<Duration::rep>(
-      bytes * kMicros / state.settings.transfer_bytes_per_second)};
-  return std::max(kShortestTransfer, exact);
+      bytes * kMicrosPerSecond / state.settings.transfer_bytes_per_second)};
+  return std::max(kMinTransferTime, exact);
 }
 
-void WantVersion(Call& call, ConfigVersion version) {
+void PullIfBehind(Call& call, ConfigVersion version) {
   SpreadState& state = call.state;
-  state.highest_heard = std::max(state.highest_heard, version);
+  state.highest_known = std::max(state.highest_known, version);
   if (version <= TipOf(state) || state.pull)
     return;
   // A node that holds nothing waits for no tree.
@@ -87,12 +87,12 @@
 
 void ReceivePullRequest(Call& call, const PullRequest& request) {
   SpreadState& state = call.state;
-  std::erase_if(state.transfers,
+  std::erase_if(state.transfer_ends,
                 [&call](TimePoint end) { return end <= call.now; });
-  if (state.transfers.size() >= state.settings.transfer_slots) {
+  if (state.transfer_ends.size() >= state.settings.transfer_slots) {
     Count(state, SpreadCount::kPullBusySent);
-    const TimePoint next =
-        *std::min_element(state.transfers.begin(), state.transfers.end());
+    const TimePoint next = *std::min_element(state.transfer_ends.begin(),
+                                             state.transfer_ends.end());
     // Spread over the time that the others in line will need.
     const Duration wait =
         (next - call.now) + RandomUpTo(4 * (next - call.now), call.rng);
@@ -103,11 +103,12 @@
                   static_cast<std::uint32_t>(millis)});
     return;
   }
-  std::vector<ConfigUpdate> updates = CollectFor(state, request.have);
+  std::vector<ConfigUpdate> updates = CollectUpdatesSince(state, request.have);
   if (!updates.empty()) {
     Count(state, updates.front().full ? SpreadCount::kSnapshotServed
                                       : SpreadCount::kChainServed);
-    state.transfers.push_back(call.now + TransferTime(state, BytesOf(updates)));
+    state.transfer_ends.push_back(call.now +
+                                  TransferTime(state, BytesOf(updates)));
   }
   SendStream(call, request.from.control,
              PullReply{SenderOf(state, call.now), std::move(updates)});
@@ -121,9 +122,10 @@
   if (expected)
     state.pull.reset();
   for (const ConfigUpdate& update : reply.updates)
-    Learn(call, update, remote ? Path::kRemote : Path::kPull);
+    HandleUpdate(call, update,
+                 remote ? UpdateSource::kRemote : UpdateSource::kPull);
   Advance(call);
-  if (TipOf(state) < state.highest_heard)
+  if (TipOf(state) < state.highest_known)
     SchedulePull(call, Duration::zero());
 }
 
@@ -132,18 +134,20 @@
   if (!state.pull || !state.pull->sent ||
       state.pull->target != busy.from.control)
     return;
-  Count(state, SpreadCount::kPullBusyHeard);
+  Count(state, SpreadCount::kPullBusyReceived);
   // A hostile or broken peer must not stop this node for longer than this.
-  constexpr Duration kLongest = std::chrono::seconds(5);
+  constexpr Duration kMaxBusyWait = std::chrono::seconds(5);
   const Duration wait = std::chrono::milliseconds(busy.retry_after_ms);
-  state.pull = Pull{call.now + std::min(wait, kLongest), false, {}, false};
+  state.pull = Pull{call.now + std::min(wait, kMaxBusyWait), false, {}, false};
 }
 
 }  // namespace teaselspread::spread
 
 namespace teaselspread {
 
-void HearStream(SpreadState& state, std::string_view host, TimePoint now) {
+void ObserveStreamBytes(SpreadState& state,
+                        std::string_view host,
+                        TimePoint now) {
   if (state.pull && state.pull->sent && state.pull->target.host == host)
     state.pull->due = now + state.settings.pull_timeout;
 }
--- a/src/spread/push.cc
+++ b/src/spread/push.cc
@@ -19,12 +19,12 @@
   if (index >= order.size() || order[index] == state.id)
     return;
   const std::string& target = order[index];
-  const bool waiting = std::any_of(
+  const bool queued = std::any_of(
       state.deliveries.begin(), state.deliveries.end(),
       [&](const Delivery& delivery) {
         return delivery.version == version && delivery.target == target;
       });
-  if (!waiting)
+  if (!queued)
     state.deliveries.push_back({version, index, target, 0, due, origin});
 }
 
@@ -45,7 +45,7 @@
 }
 
 // False when the delivery is over.
-bool RunDelivery(Call& call, Delivery& delivery) {
+bool AttemptDelivery(Call& call, Delivery& delivery) {
   SpreadState& state = call.state;
   const ConfigUpdate* update = FindUpdate(state, delivery.version);
   const auto peer = state.peers.find(delivery.target);
@@ -65,20 +65,22 @@
                                       : SpreadCount::kPushRetried);
   ++delivery.attempts;
   delivery.origin = false;
-  const bool fits = update->body.size() + kPushOverhead <= kMaxDatagramBytes;
+  const bool fits_datagram =
+      update->body.size() + kPushOverhead <= kMaxDatagramBytes;
   // A stream loses nothing by itself; what is large only takes longer.
-  delivery.due =
-      call.now + state.settings.push_retry +
-      (fits ? Duration::zero() : 2 * TransferTime(state, update->body.size()));
+  delivery.due = call.now + state.settings.push_retry +
+                 (fits_datagram ? Duration::zero()
+                                : 2 * TransferTime(state, update->body.size()));
   call.actions.sends.push_back(
-      {peer->second.control, fits ? Transport::kDatagram : Transport::kStream,
+      {peer->second.control,
+       fits_datagram ? Transport::kDatagram : Transport::kStream,
        Push{SenderOf(state, call.now), *update}});
   return true;
 }
 
 }  // namespace
 
-void StartOrigin(Call& call, ConfigVersion version) {
+void StartPush(Call& call, ConfigVersion version) {
   SpreadState& state = call.state;
   const std::vector<std::string> readers = ReadersOf(state);
   const auto own = std::find(readers.begin(), readers.end(), state.id);
@@ -102,7 +104,7 @@
   std::erase_if(call.state.deliveries, [&push](const Delivery& delivery) {
     return delivery.version == push.update.version && delivery.origin;
   });
-  Learn(call, push.update, Path::kTree);
+  HandleUpdate(call, push.update, UpdateSource::kTree);
   if (TipOf(call.state) < push.update.version)
     SchedulePull(call, Duration::zero());
   Advance(call);
@@ -125,7 +127,7 @@
     Delivery delivery = state.deliveries[i];
     state.deliveries.erase(state.deliveries.begin() +
                            static_cast<std::ptrdiff_t>(i));
-    if (RunDelivery(call, delivery))
+    if (AttemptDelivery(call, delivery))
       state.deliveries.push_back(std::move(delivery));
   }
 }
--- a/src/spread/record.cc
+++ b/src/spread/record.cc
@@ -16,12 +16,12 @@
 
 // Asks the best witnesses first and, with each retry, as many more: the best
 // ones may just have died.
-void AskWitnesses(Call& call, Recording& recording) {
+void NotifyWitnesses(Call& call, Recording& recording) {
   SpreadState& state = call.state;
-  recording.asked += state.settings.witnesses;
+  recording.witnesses_asked += state.settings.witnesses;
   recording.due = call.now + state.settings.record_retry;
   for (const SpreadPeer* peer :
-       RankedWitnesses(state, recording.asked, false)) {
+       RankedWitnesses(state, recording.witnesses_asked, false)) {
     if (!recording.acks.contains(peer->id))
       Send(call, peer->control,
            RecordHeld{SenderOf(state, call.now), recording.version});
@@ -37,20 +37,20 @@
     state.applying = 0;
 }
 
-bool PatienceOver(const SpreadState& state, TimePoint now) {
+bool RecordTimedOut(const SpreadState& state, TimePoint now) {
   const Recording& recording = *state.recording;
-  return state.from_log.contains(recording.version) &&
-         now - recording.started >= state.settings.record_patience;
+  return state.versions_from_log.contains(recording.version) &&
+         now - recording.started >= state.settings.record_timeout;
 }
 
-void TryHandOut(Call& call) {
+void HandOutIfConfirmed(Call& call) {
   SpreadState& state = call.state;
   if (!state.recording)
     return;
   if (state.recording->acks.size() >= Quorum(state))
     return HandOut(call);
   // Cut from all its witnesses but not from the log: the log is the witness.
-  if (PatienceOver(state, call.now)) {
+  if (RecordTimedOut(state, call.now)) {
     Count(state, SpreadCount::kAppliedUnwitnessed);
     HandOut(call);
   }
@@ -58,20 +58,20 @@
 
 // A witness that restarted has forgotten, and a new member may rank higher: the
 // best live ones are told again what is held.
-void Repair(Call& call) {
+void RepairRecords(Call& call) {
   SpreadState& state = call.state;
   if (call.now < state.next_repair)
     return;
-  state.next_repair = call.now + state.settings.record_repair;
+  state.next_repair = call.now + state.settings.record_repair_interval;
   if (state.held == 0)
     return;
   for (const SpreadPeer* peer :
        RankedWitnesses(state, state.settings.witnesses, false)) {
     const auto ack = state.witness_acks.find(peer->id);
-    const bool told = ack != state.witness_acks.end() &&
-                      ack->second.start == peer->start &&
-                      ack->second.version >= state.held;
-    if (!told)
+    const bool confirmed = ack != state.witness_acks.end() &&
+                           ack->second.start == peer->start &&
+                           ack->second.version >= state.held;
+    if (!confirmed)
       Send(call, peer->control,
            RecordHeld{SenderOf(state, call.now), state.held});
   }
@@ -83,17 +83,17 @@
   Recording recording;
   recording.version = version;
   recording.started = call.now;
-  AskWitnesses(call, recording);
+  NotifyWitnesses(call, recording);
   call.state.recording = std::move(recording);
-  TryHandOut(call);
+  HandOutIfConfirmed(call);
 }
 
 void TickRecording(Call& call) {
   SpreadState& state = call.state;
   if (state.recording && state.recording->due <= call.now)
-    AskWitnesses(call, *state.recording);
-  TryHandOut(call);
-  Repair(call);
+    NotifyWitnesses(call, *state.recording);
+  HandOutIfConfirmed(call);
+  RepairRecords(call);
 }
 
 void ReceiveRecordHeld(Call& call, const RecordHeld& record) {
@@ -104,14 +104,14 @@
     peer.id = record.from.id;
     peer.status = MemberStatus::kLeft;
     peer.control = record.from.control;
-    peer.first_seen_settled = state.floor_settled;
+    peer.settled_when_first_seen = state.floor_settled;
     peer.start = StartOf(record.from.incarnation);
     peer.first_start = peer.start;
     peer.gone_since = call.now;
     peer.reader_rank = RankOf(peer.id, kReaderSeed);
     peer.witness_rank = RankOf(peer.id, SeedOf(state.id));
   }
-  peer.remembered = std::max(peer.remembered, record.version);
+  peer.highest_held = std::max(peer.highest_held, record.version);
   peer.recorded = true;
   Send(call, record.from.control,
        RecordAck{SenderOf(state, call.now), record.version});
@@ -129,7 +129,7 @@
   if (!state.recording || ack.version != state.recording->version)
     return;
   state.recording->acks.insert(ack.from.id);
-  TryHandOut(call);
+  HandOutIfConfirmed(call);
 }
 
 }  // namespace teaselspread::spread
--- a/src/spread/spread.cc
+++ b/src/spread/spread.cc
@@ -12,19 +12,19 @@
 
 // A paused node missed what others told it. If it vouched at once, from what it
 // knew before, a restarted VM could be told too low a floor.
-void NotePause(Call& call) {
+void HandlePause(Call& call) {
   SpreadState& state = call.state;
-  spread::Count(state, SpreadCount::kPauseNoticed);
-  state.doubt_until = call.now + state.settings.doubt_time;
+  spread::Count(state, SpreadCount::kPauseDetected);
+  state.vouch_suspended_until = call.now + state.settings.vouch_suspension;
   state.deliveries.clear();
 }
 
 void Begin(Call& call) {
   SpreadState& state = call.state;
-  call.now = std::max(call.now, state.latest);
-  state.latest = call.now;
+  call.now = std::max(call.now, state.latest_now);
+  state.latest_now = call.now;
   if (call.now - state.expected_wake > state.settings.pause_threshold)
-    NotePause(call);
+    HandlePause(call);
 }
 
 SpreadActions Finish(Call& call) {
@@ -38,11 +38,12 @@
   return std::move(call.actions);
 }
 
-void ForgetGone(Call& call) {
+void RemoveExpiredPeers(Call& call) {
   SpreadState& state = call.state;
   std::erase_if(state.peers, [&call](const auto& row) {
     return !spread::IsLive(row.second) &&
-           call.now - row.second.gone_since > call.state.settings.remember;
+           call.now - row.second.gone_since >
+               call.state.settings.gone_member_retention;
   });
   std::erase_if(state.witness_acks, [&state](const auto& row) {
     return !state.peers.contains(row.first);
@@ -50,7 +51,7 @@
 }
 
 // Whether `peer` comes before this node as a reader.
-bool IsBefore(const SpreadState& state, const SpreadPeer& peer) {
+bool RanksBefore(const SpreadState& state, const SpreadPeer& peer) {
   return peer.status == MemberStatus::kAlive &&
          peer.reader_rank > spread::RankOf(state.id, spread::kReaderSeed);
 }
@@ -116,11 +117,11 @@
   state.control = self.control;
   state.incarnation = self.incarnation;
   state.started = now;
-  state.next_floor_ask = now;
+  state.next_floor_query = now;
   state.next_notice = now;
-  state.next_repair = now + settings.record_repair;
-  state.reader_heard = now;
-  state.latest = now;
+  state.next_repair = now + settings.record_repair_interval;
+  state.last_reader_heartbeat = now;
+  state.latest_now = now;
   state.expected_wake = now;
   return state;
 }
@@ -128,13 +129,13 @@
 TimePoint NextWake(const SpreadState& state) {
   TimePoint wake = std::min(state.next_notice, state.next_repair);
   if (!state.floor_settled)
-    wake = std::min(wake, state.next_floor_ask);
+    wake = std::min(wake, state.next_floor_query);
   if (state.recording)
     wake = std::min(wake, state.recording->due);
   if (state.pull)
     wake = std::min(wake, state.pull->due);
   // Only readers and standbys have a heartbeat to send or to miss.
-  if (state.reader_place < state.settings.readers + state.settings.standbys)
+  if (state.reader_position < state.settings.readers + state.settings.standbys)
     wake = std::min(wake, state.next_heartbeat);
   for (const Delivery& delivery : state.deliveries)
     wake = std::min(wake, delivery.due);
@@ -147,7 +148,7 @@
   spread::TickDeliveries(call);
   spread::TickFloor(call);
   if (call.now >= state.next_repair)
-    ForgetGone(call);
+    RemoveExpiredPeers(call);
   spread::TickRecording(call);
   spread::TickPull(call);
   spread::TickHeartbeat(call);
@@ -169,28 +170,28 @@
   if (added) {
     peer.id = member.id;
     peer.status = MemberStatus::kLeft;
-    peer.first_seen_settled = state.floor_settled;
+    peer.settled_when_first_seen = state.floor_settled;
     peer.first_start = start;
     peer.reader_rank = spread::RankOf(member.id, spread::kReaderSeed);
     peer.witness_rank = spread::RankOf(member.id, spread::SeedOf(state.id));
   }
   peer.first_start = std::min(peer.first_start, start);
-  peer.remembered = std::max(peer.remembered, member.held);
+  peer.highest_held = std::max(peer.highest_held, member.held);
   if (!UpdateStart(peer, start))
     return Finish(call);
   peer.control = member.control;
   peer.held = std::max(peer.held, member.held);
   // Kept up step by step: counting 833 peers at each of 833 news of a join was
   // most of a node's work.
-  if (IsBefore(state, peer))
-    --state.reader_place;
+  if (RanksBefore(state, peer))
+    --state.reader_position;
   peer.status = member.status;
-  if (IsBefore(state, peer))
-    ++state.reader_place;
+  if (RanksBefore(state, peer))
+    ++state.reader_position;
   if (!spread::IsLive(peer))
     peer.gone_since = call.now;
   if (spread::IsLive(peer))
-    spread::WantVersion(call, peer.held);
+    spread::PullIfBehind(call, peer.held);
   return Finish(call);
 }
 
@@ -205,13 +206,13 @@
   if (found == state.peers.end())
     return Finish(call);
   SpreadPeer& peer = found->second;
-  peer.remembered = std::max(peer.remembered, version.held);
+  peer.highest_held = std::max(peer.highest_held, version.held);
   if (!UpdateStart(peer, StartOf(version.incarnation)))
     return Finish(call);
   peer.held = std::max(peer.held, version.held);
   if (version.fresh_as_of != TimePoint{})
-    spread::NoteFresh(call, version.held, version.fresh_as_of);
-  spread::WantVersion(call, peer.held);
+    spread::UpdateFreshness(call, version.held, version.fresh_as_of);
+  spread::PullIfBehind(call, peer.held);
   return Finish(call);
 }
 
@@ -225,23 +226,23 @@
   return Finish(call);
 }
 
-SpreadActions LogRead(SpreadState& state,
-                      const std::vector<ConfigUpdate>& updates,
-                      TimePoint read_started,
-                      bool reached_end,
-                      TimePoint now,
-                      Rng& rng) {
+SpreadActions ObserveLogRead(SpreadState& state,
+                             const std::vector<ConfigUpdate>& updates,
+                             TimePoint read_started,
+                             bool reached_end,
+                             TimePoint now,
+                             Rng& rng) {
   Call call{state, now, rng, {}};
   Begin(call);
   ConfigVersion newest = state.held;
   for (const ConfigUpdate& update : updates) {
     newest = std::max(newest, update.version);
     if (update.version > state.held)
-      spread::Learn(call, update, spread::Path::kLog);
+      spread::HandleUpdate(call, update, spread::UpdateSource::kLog);
   }
   if (reached_end)
-    spread::NoteFresh(call, std::max(newest, spread::TipOf(state)),
-                      read_started);
+    spread::UpdateFreshness(call, std::max(newest, spread::TipOf(state)),
+                            read_started);
   spread::Advance(call);
   return Finish(call);
 }
@@ -259,11 +260,13 @@
   }
   state.held = full.version;
   state.snapshot = full;
-  state.from_log.erase(state.from_log.begin(),
-                       state.from_log.upper_bound(state.held));
+  state.versions_from_log.erase(
+      state.versions_from_log.begin(),
+      state.versions_from_log.upper_bound(state.held));
   state.snapshot_wanted = false;
-  if (state.pending_fresh.version <= state.held)
-    state.fresh_as_of = std::max(state.fresh_as_of, state.pending_fresh.as_of);
+  if (state.pending_freshness.version <= state.held)
+    state.fresh_as_of =
+        std::max(state.fresh_as_of, state.pending_freshness.as_of);
   spread::Advance(call);
   return Finish(call);
 }
--- a/src/spread/store.cc
+++ b/src/spread/store.cc
@@ -14,8 +14,8 @@
 
 void Prune(SpreadState& state) {
   while (!state.updates.empty() &&
-         (state.updates.size() > state.settings.chain_length ||
-          state.update_bytes > state.settings.chain_bytes)) {
+         (state.updates.size() > state.settings.max_kept_deltas ||
+          state.update_bytes > state.settings.max_kept_delta_bytes)) {
     // Above what is held only the oldest is needed next: never drop that.
     if (state.updates.begin()->first > state.held)
       return;
@@ -24,7 +24,8 @@
 }
 
 // The update that can follow `version` directly; nullptr when there is a gap.
-const ConfigUpdate* Following(const SpreadState& state, ConfigVersion version) {
+const ConfigUpdate* NextUpdate(const SpreadState& state,
+                               ConfigVersion version) {
   for (auto row = state.updates.upper_bound(version);
        row != state.updates.end(); ++row) {
     if (row->second.full || row->second.parent == version)
@@ -37,7 +38,7 @@
 
 ConfigVersion TipOf(const SpreadState& state) {
   ConfigVersion tip = state.held;
-  while (const ConfigUpdate* next = Following(state, tip))
+  while (const ConfigUpdate* next = NextUpdate(state, tip))
     tip = next->version;
   return tip;
 }
@@ -61,21 +62,21 @@
   return added;
 }
 
-std::vector<ConfigUpdate> CollectFor(const SpreadState& state,
-                                     ConfigVersion have) {
+std::vector<ConfigUpdate> CollectUpdatesSince(const SpreadState& state,
+                                              ConfigVersion have) {
   std::vector<ConfigUpdate> chain;
   std::size_t bytes = 0;
-  ConfigVersion at = have;
-  while (at < state.held && at > 0) {
-    const auto next = state.updates.upper_bound(at);
+  ConfigVersion reached = have;
+  while (reached < state.held && reached > 0) {
+    const auto next = state.updates.upper_bound(reached);
     if (next == state.updates.end() || next->second.full ||
-        next->second.parent != at)
+        next->second.parent != reached)
       break;
-    at = next->first;
+    reached = next->first;
     bytes += next->second.body.size();
     chain.push_back(next->second);
   }
-  if (at == state.held && bytes <= state.snapshot.body.size())
+  if (reached == state.held && bytes <= state.snapshot.body.size())
     return chain;
   if (have >= state.held)
     return {};
@@ -85,16 +86,16 @@
 std::vector<ConfigUpdate> CollectToApply(const SpreadState& state,
                                          ConfigVersion up_to) {
   std::vector<ConfigUpdate> chain;
-  ConfigVersion at = state.held;
-  while (at < up_to) {
-    const ConfigUpdate* next = Following(state, at);
+  ConfigVersion reached = state.held;
+  while (reached < up_to) {
+    const ConfigUpdate* next = NextUpdate(state, reached);
     if (next == nullptr)
       break;
     // Whatever a snapshot replaces need not be applied before it.
     if (next->full)
       chain.clear();
     chain.push_back(*next);
-    at = next->version;
+    reached = next->version;
   }
   return chain;
 }
@@ -108,19 +109,19 @@
     StartRecording(call, tip);
 }
 
-void Learn(Call& call, const ConfigUpdate& update, Path path) {
+void HandleUpdate(Call& call, const ConfigUpdate& update, UpdateSource source) {
   SpreadState& state = call.state;
-  state.highest_heard = std::max(state.highest_heard, update.version);
+  state.highest_known = std::max(state.highest_known, update.version);
   if (!Store(call, update)) {
-    if (path == Path::kTree)
+    if (source == UpdateSource::kTree)
       Count(state, SpreadCount::kPushDuplicate);
     return;
   }
-  if (path == Path::kLog)
-    state.from_log.insert(update.version);
-  if (path == Path::kLog || path == Path::kRemote)
-    StartOrigin(call, update.version);
-  if (path != Path::kPull)
+  if (source == UpdateSource::kLog)
+    state.versions_from_log.insert(update.version);
+  if (source == UpdateSource::kLog || source == UpdateSource::kRemote)
+    StartPush(call, update.version);
+  if (source != UpdateSource::kPull)
     ForwardToChildren(call, update.version);
 }
 
--- a/src/store/order_readers.cc
+++ b/src/store/order_readers.cc
@@ -6,7 +6,8 @@
 namespace teaselspread {
 namespace {
 
-constexpr std::array<std::string_view, 3> kNames = {"told", "second", "first"};
+constexpr std::array<std::string_view, 3> kRoleNames = {"told", "second",
+                                                        "first"};
 
 // With the time until an overdue read is doubted this stays below the three
 // seconds within which nodes have to follow a store that is back.
@@ -16,22 +17,22 @@
 }  // namespace
 
 std::string_view NameOf(ReaderRole role) {
-  return kNames.at(static_cast<std::size_t>(role));
+  return kRoleNames.at(static_cast<std::size_t>(role));
 }
 
 ReaderRole RoleOf(const ReaderPeer& self, std::span<const ReaderPeer> peers) {
-  const auto goes_before = [&self](const ReaderPeer& peer) {
+  const auto ranks_higher = [&self](const ReaderPeer& peer) {
     if (peer.line_mbit != self.line_mbit)
       return peer.line_mbit > self.line_mbit;
     return peer.node < self.node;
   };
-  const auto before =
+  const auto higher_ranked =
       std::count_if(peers.begin(), peers.end(), [&](const ReaderPeer& peer) {
-        return !peer.store_lost && goes_before(peer);
+        return !peer.store_lost && ranks_higher(peer);
       });
-  if (before == 0)
+  if (higher_ranked == 0)
     return ReaderRole::kFirst;
-  return before == 1 ? ReaderRole::kSecond : ReaderRole::kTold;
+  return higher_ranked == 1 ? ReaderRole::kSecond : ReaderRole::kNonReader;
 }
 
 Duration ReadWaitOf(ReaderRole role) {
--- a/tests/contract/platform_test.cc
+++ b/tests/contract/platform_test.cc
@@ -171,7 +171,7 @@
 Test(platform, each_refusal_of_the_store_is_told_apart) {
   const std::vector<std::pair<int, StoreOutcome>> cases = {
       {429, StoreOutcome::kThrottled}, {503, StoreOutcome::kUnavailable},
-      {410, StoreOutcome::kForgotten}, {412, StoreOutcome::kConflict},
+      {410, StoreOutcome::kExpired},   {412, StoreOutcome::kConflict},
       {409, StoreOutcome::kConflict},  {500, StoreOutcome::kMalformed}};
   for (const auto& [status, outcome] : cases) {
     cr_assert(DecodeRead(Response(status), 0).outcome == outcome);
@@ -187,7 +187,7 @@
   const RecordPage page =
       DecodeRead(Response(200, OffsetBytes(9) + OffsetBytes(0) + records), 6);
   cr_assert(page.outcome == StoreOutcome::kOk);
-  cr_assert(page.next == 9);
+  cr_assert(page.next_offset == 9);
   cr_assert(page.records.size() == 2);
   cr_assert_str_eq(page.records[0].value.c_str(), "one");
   cr_assert(page.records[1].value.empty());
@@ -211,7 +211,7 @@
       200, R"({"items":[{"key":"a","value":"b25l","offset":3},{"key":4}],
                "hasMore":true,"end":12})"));
   cr_assert(page.outcome == StoreOutcome::kOk);
-  cr_assert(page.next == 12 && page.more);
+  cr_assert(page.next_offset == 12 && page.has_more);
   cr_assert(page.records.size() == 1);
   cr_assert_str_eq(page.records[0].value.c_str(), "one");
 }
--- a/tests/support/network.h
+++ b/tests/support/network.h
@@ -27,7 +27,7 @@
 
 struct NetworkSettings {
   double loss = 0;
-  double repeat = 0;
+  double duplication = 0;
   Duration latency = std::chrono::microseconds(500);
   // Added at random, so that messages cross.
   Duration jitter = milliseconds(2);
@@ -38,7 +38,7 @@
   // The log serves whole configurations instead of deltas.
   bool full_updates = false;
   // Each message is encoded and decoded on its way.
-  bool through_frames = true;
+  bool encode_messages = true;
 };
 
 // One VM over all its starts.
@@ -48,7 +48,7 @@
   Address address;
   bool up = false;
   bool paused = false;
-  int group = 0;
+  int partition = 0;
   int starts = 0;
   Membership membership;
   SpreadState spread;
@@ -77,7 +77,7 @@
   std::vector<ConfigVersion> log;
   bool log_up = true;
   // Data centres and nodes that the log cannot be reached from.
-  std::vector<std::string> log_cut;
+  std::vector<std::string> cut_from_log;
   std::uint64_t log_reads = 0;
   std::uint64_t messages = 0;
   // Broken promises, as text; empty when all is well.
@@ -165,8 +165,8 @@
   void Leave(std::size_t index) {
     Node& node = *this->nodes[index];
     LeaveSpread(node.spread);
-    this->Take(index,
-               teaselspread::Leave(node.membership, this->now, node.rng));
+    this->Execute(index,
+                  teaselspread::Leave(node.membership, this->now, node.rng));
   }
 
   Node* FindNode(const std::string& id) {
@@ -178,20 +178,20 @@
   }
 
   // Share of the running nodes of which `holds` is true.
-  [[nodiscard]] double Share(
-      const std::function<bool(const Node&)>& holds) const {
+  [[nodiscard]] double FractionOf(
+      const std::function<bool(const Node&)>& matches) const {
     double up = 0;
-    double good = 0;
+    double matching = 0;
     for (const auto& node : this->nodes) {
       up += node->up ? 1 : 0;
-      good += node->up && holds(*node) ? 1 : 0;
+      matching += node->up && matches(*node) ? 1 : 0;
     }
-    return up == 0 ? 1 : good / up;
+    return up == 0 ? 1 : matching / up;
   }
 
   // Share of running nodes that hold at least `version`.
-  [[nodiscard]] double ShareHolding(ConfigVersion version) const {
-    return this->Share(
+  [[nodiscard]] double FractionHolding(ConfigVersion version) const {
+    return this->FractionOf(
         [version](const Node& node) { return node.spread.held >= version; });
   }
 
@@ -199,11 +199,11 @@
     Node& node = *this->nodes[index];
     Announcement announcement = node.membership.self.upstream;
     announcement.state = state;
-    this->Take(index, SetAnnouncement(node.membership, announcement, this->now,
-                                      node.rng));
+    this->Execute(index, SetAnnouncement(node.membership, announcement,
+                                         this->now, node.rng));
   }
 
-  void Take(std::size_t index, MembershipActions actions) {
+  void Execute(std::size_t index, MembershipActions actions) {
     Node& node = *this->nodes[index];
     SetIncarnation(node.spread, node.membership.self.incarnation);
     for (SendMessage& send : actions.sends)
@@ -211,18 +211,18 @@
     for (const Member& member : actions.changes) {
       if (this->on_change)
         this->on_change(node, member);
-      this->Take(index,
-                 ObserveMember(node.spread, member, this->now, node.rng));
+      this->Execute(index,
+                    ObserveMember(node.spread, member, this->now, node.rng));
     }
     for (const PeerVersion& version : actions.versions)
-      this->Take(index,
-                 ObserveVersion(node.spread, version, this->now, node.rng));
+      this->Execute(index,
+                    ObserveVersion(node.spread, version, this->now, node.rng));
     std::move(actions.rumours.begin(), actions.rumours.end(),
               std::back_inserter(node.rumours));
     this->ScheduleNext(index);
   }
 
-  void Take(std::size_t index, SpreadActions actions) {
+  void Execute(std::size_t index, SpreadActions actions) {
     Node& node = *this->nodes[index];
     for (SendMessage& send : actions.sends)
       this->Transmit(index, std::move(send));
@@ -268,8 +268,9 @@
     return address.host + ':' + std::to_string(address.port);
   }
 
-  bool Chance(double share) {
-    return std::uniform_real_distribution<double>(0, 1)(this->rng) < share;
+  bool RandomEvent(double probability) {
+    return std::uniform_real_distribution<double>(0, 1)(this->rng) <
+           probability;
   }
 
   Duration Delay() {
@@ -294,17 +295,18 @@
     const auto found = this->by_address.find(KeyOf(send.to));
     if (found == this->by_address.end())
       return;
-    if (datagram && this->Chance(this->settings.loss))
+    if (datagram && this->RandomEvent(this->settings.loss))
       return;
     auto message = std::make_shared<Message>(std::move(send.message));
-    if (this->settings.through_frames) {
+    if (this->settings.encode_messages) {
       Result<Message> decoded = Decode(frame);
       if (!decoded)
         this->violations.push_back(decoded.error().message);
       else
         *message = std::move(*decoded);
     }
-    const int copies = datagram && this->Chance(this->settings.repeat) ? 2 : 1;
+    const int copies =
+        datagram && this->RandomEvent(this->settings.duplication) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
       this->At(this->now + this->Delay(),
                [this, from, to = found->second, message] {
@@ -315,15 +317,15 @@
 
   void Deliver(std::size_t from, std::size_t to, const Message& message) {
     Node& node = *this->nodes[to];
-    if (!node.up || node.group != this->nodes[from]->group)
+    if (!node.up || node.partition != this->nodes[from]->partition)
       return;
     if (node.paused) {
       node.inbox.push_back(message);
       return;
     }
-    this->Take(
+    this->Execute(
         to, ReceiveMembership(node.membership, message, this->now, node.rng));
-    this->Take(to, ReceiveSpread(node.spread, message, this->now, node.rng));
+    this->Execute(to, ReceiveSpread(node.spread, message, this->now, node.rng));
   }
 
   void Resume(std::size_t index) {
@@ -332,7 +334,7 @@
       return;
     node.paused = false;
     // Timers or unread messages first: both orders happen.
-    if (this->Chance(0.5))
+    if (this->RandomEvent(0.5))
       this->Wake(index);
     for (const Message& message : std::exchange(node.inbox, {}))
       this->Deliver(index, index, message);
@@ -363,9 +365,10 @@
       return;
     node.wake = TimePoint{};
     if (NextWake(node.membership) <= this->now)
-      this->Take(index, TickMembership(node.membership, this->now, node.rng));
+      this->Execute(index,
+                    TickMembership(node.membership, this->now, node.rng));
     if (NextWake(node.spread) <= this->now)
-      this->Take(index, TickSpread(node.spread, this->now, node.rng));
+      this->Execute(index, TickSpread(node.spread, this->now, node.rng));
     if (node.next_poll <= this->now)
       this->PollLog(index);
     this->ScheduleNext(index);
@@ -375,7 +378,7 @@
     Node& node = *this->nodes[index];
     node.next_poll = this->now + this->settings.log_poll;
     const bool cut =
-        std::any_of(this->log_cut.begin(), this->log_cut.end(),
+        std::any_of(this->cut_from_log.begin(), this->cut_from_log.end(),
                     [&node](const std::string& name) {
                       return name == node.data_center || name == node.id;
                     });
@@ -387,43 +390,43 @@
     std::vector<ConfigUpdate> updates;
     // A first read starts at the newest checkpoint.
     if (node.log_position == 0 && !this->log.empty())
-      updates.push_back(this->Full(this->log.back()));
+      updates.push_back(this->FullUpdate(this->log.back()));
     ConfigVersion parent = node.log_position;
     for (const ConfigVersion version : this->log) {
       if (node.log_position != 0 && version > node.log_position)
-        updates.push_back(this->Update(version, parent));
+        updates.push_back(this->UpdateAfter(version, parent));
       parent = version;
     }
-    const TimePoint asked = this->now;
+    const TimePoint read_started = this->now;
     const int start = node.starts;
     this->At(this->now + this->settings.log_latency,
-             [this, index, updates, asked, start] {
-               this->LogAnswer(index, updates, asked, start);
+             [this, index, updates, read_started, start] {
+               this->DeliverLogRead(index, updates, read_started, start);
              });
   }
 
-  void LogAnswer(std::size_t index,
-                 const std::vector<ConfigUpdate>& updates,
-                 TimePoint asked,
-                 int start) {
+  void DeliverLogRead(std::size_t index,
+                      const std::vector<ConfigUpdate>& updates,
+                      TimePoint read_started,
+                      int start) {
     Node& node = *this->nodes[index];
     if (!node.up || node.paused || node.starts != start)
       return;
     if (!updates.empty())
       node.log_position = std::max(node.log_position, updates.back().version);
-    this->Take(index,
-               LogRead(node.spread, updates, asked, true, this->now, node.rng));
+    this->Execute(index, ObserveLogRead(node.spread, updates, read_started,
+                                        true, this->now, node.rng));
   }
 
-  [[nodiscard]] ConfigUpdate Full(ConfigVersion version) const {
+  [[nodiscard]] ConfigUpdate FullUpdate(ConfigVersion version) const {
     return {version, 0, version, true,
             std::string(this->settings.snapshot_bytes, 'f')};
   }
 
-  [[nodiscard]] ConfigUpdate Update(ConfigVersion version,
-                                    ConfigVersion parent) const {
+  [[nodiscard]] ConfigUpdate UpdateAfter(ConfigVersion version,
+                                         ConfigVersion parent) const {
     if (this->settings.full_updates)
-      return this->Full(version);
+      return this->FullUpdate(version);
     return {version, parent, version, false,
             std::string(this->settings.delta_bytes, 'd')};
   }
@@ -434,8 +437,8 @@
     ConfigVersion at = node.spread.held;
     for (const ConfigUpdate& update : updates) {
       if (!update.full && update.parent != at)
-        return this->Take(index,
-                          RejectUpdate(node.spread, this->now, node.rng));
+        return this->Execute(index,
+                             RejectUpdate(node.spread, this->now, node.rng));
       at = update.version;
     }
     if (at < node.highest_held) {
@@ -446,8 +449,8 @@
     node.highest_held = std::max(node.highest_held, at);
     if (this->on_applied)
       this->on_applied(node, at);
-    this->Take(index, ConfirmApplied(node.spread, this->Full(at), this->now,
-                                     node.rng));
+    this->Execute(index, ConfirmApplied(node.spread, this->FullUpdate(at),
+                                        this->now, node.rng));
   }
 
   // By "host:port".
--- a/tests/unit/membership_test.cc
+++ b/tests/unit/membership_test.cc
@@ -37,7 +37,7 @@
 Test(membership, all_nodes_come_to_know_each_other) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const Network net = Joined(60, {.loss = 0.05}, seed);
-    cr_assert(net.Share([](const Node& node) {
+    cr_assert(net.FractionOf([](const Node& node) {
       return CountLive(node.membership) == 59;
     }) == 1.0);
     cr_assert(net.violations.empty());
@@ -51,7 +51,7 @@
     Network net = Joined(200, {.loss = 0.05}, seed);
     net.Announce(17, UpstreamState::kLeaving);
     net.Run(seconds(3));
-    cr_assert(net.Share([](const Node& node) {
+    cr_assert(net.FractionOf([](const Node& node) {
       const Member* member = FindMember(node.membership, "vm-17");
       return member && member->upstream.state == UpstreamState::kLeaving;
     }) == 1.0,
@@ -78,13 +78,13 @@
                    {Topic::kMoveEvidence, node.id + "/row",
                     static_cast<std::uint64_t>(second), std::string(142, 'e')},
                    net.now, node.rng);
-        net.Take(row, std::move(*actions));
+        net.Execute(row, std::move(*actions));
       }
       if (second == 20)
         net.Announce(17, UpstreamState::kLeaving);
       net.Run(seconds(1));
     }
-    cr_assert(net.Share([](const Node& node) {
+    cr_assert(net.FractionOf([](const Node& node) {
       const Member* member = FindMember(node.membership, "vm-17");
       return member && member->upstream.state == UpstreamState::kLeaving;
     }) == 1.0,
@@ -124,7 +124,7 @@
   net.Run(seconds(5));
   const Node& restarted = *net.nodes[4];
   cr_assert(KnownAs(net, "vm-4", MemberStatus::kAlive) == 19);
-  cr_assert(net.Share([&](const Node& node) {
+  cr_assert(net.FractionOf([&](const Node& node) {
     return StartOf(FindMember(node.membership, "vm-4")->incarnation) >
            StartOf(before);
   }) == 1.0);
@@ -159,7 +159,7 @@
     cr_assert(dead.empty(), "seed %d: %s", static_cast<int>(seed),
               dead.empty() ? "" : dead.begin()->c_str());
     cr_assert(KnownAs(net, "vm-3", MemberStatus::kAlive) == 19);
-    cr_assert(net.Share([](const Node& node) {
+    cr_assert(net.FractionOf([](const Node& node) {
       return FindMember(node.membership, "vm-5")->upstream.state ==
              UpstreamState::kLeaving;
     }) == 1.0);
@@ -173,13 +173,13 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Network net = Joined(40, {.loss = 0.02}, seed);
     for (std::size_t i = 0; i < 20; ++i)
-      net.nodes[i]->group = 1;
+      net.nodes[i]->partition = 1;
     net.Run(seconds(60));
     cr_assert(CountLive(net.nodes[0]->membership) == 19);
     for (const auto& node : net.nodes)
-      node->group = 0;
+      node->partition = 0;
     net.Run(seconds(25));
-    cr_assert(net.Share([](const Node& node) {
+    cr_assert(net.FractionOf([](const Node& node) {
       return CountLive(node.membership) == 39;
     }) == 1.0,
               "seed %d", static_cast<int>(seed));
@@ -222,20 +222,20 @@
 }
 
 Test(membership, an_opaque_rumour_reaches_all_and_the_last_version_wins) {
-  Network net = Joined(80, {.loss = 0.05, .repeat = 0.1}, 4);
+  Network net = Joined(80, {.loss = 0.05, .duplication = 0.1}, 4);
   const auto publish = [&net](std::size_t index, std::uint64_t version) {
     Node& node = *net.nodes[index];
     Result<MembershipActions> actions =
         Spread(node.membership, {Topic::kVerdict, "move-1", version, "x"},
                net.now, node.rng);
     cr_assert(actions.has_value());
-    net.Take(index, std::move(*actions));
+    net.Execute(index, std::move(*actions));
   };
   publish(1, 2);
   publish(70, 1);
   publish(40, 3);
   net.Run(seconds(4));
-  cr_assert(net.Share([](const Node& node) {
+  cr_assert(net.FractionOf([](const Node& node) {
     return node.membership.opaque.at({Topic::kVerdict, "move-1"}).version == 3;
   }) == 1.0);
   Node& node = *net.nodes[0];
@@ -243,14 +243,14 @@
       Spread(node.membership,
              {Topic::kCrashSuspect, "k", 1, "x", net.now + seconds(5)}, net.now,
              node.rng);
-  net.Take(0, std::move(*brief));
+  net.Execute(0, std::move(*brief));
   const auto knows = [](const Node& any) {
     return any.membership.opaque.contains({Topic::kCrashSuspect, "k"});
   };
   net.Run(seconds(4));
-  cr_assert(net.Share(knows) == 1.0);
+  cr_assert(net.FractionOf(knows) == 1.0);
   net.Run(seconds(40));
-  cr_assert(net.Share(knows) == 0.0);
+  cr_assert(net.FractionOf(knows) == 0.0);
   const Result<MembershipActions> refused =
       Spread(node.membership,
              {Topic::kVerdict, "k", 1, std::string(kMaxOpaqueBytes, 'x')},
--- a/tests/unit/order_readers_test.cc
+++ b/tests/unit/order_readers_test.cc
@@ -12,9 +12,9 @@
 // Nodes with these names see each other; a node whose name is in `lost` told
 // that it lost the store. How many of the others read?
 int CountReaders(const std::vector<std::string>& names,
-                 const std::vector<std::string>& lost) {
+                 const std::vector<std::string>& cut_off) {
   const auto is_lost = [&](const std::string& name) {
-    return std::find(lost.begin(), lost.end(), name) != lost.end();
+    return std::find(cut_off.begin(), cut_off.end(), name) != cut_off.end();
   };
   int readers = 0;
   for (const std::string& self : names) {
@@ -23,7 +23,7 @@
       if (name != self)
         peers.push_back({name, is_lost(name)});
     }
-    const bool reads = RoleOf({self}, peers) != ReaderRole::kTold;
+    const bool reads = RoleOf({self}, peers) != ReaderRole::kNonReader;
     readers += reads && !is_lost(self) ? 1 : 0;
   }
   return readers;
@@ -50,18 +50,18 @@
 
 // Guards against a data centre that gets its configuration late since the first
 // by name has a narrow line: it reads every change whole and hands it on.
-Test(order_readers, those_with_wide_lines_read) {
+Test(order_readers, the_nodes_with_the_most_bandwidth_read) {
   const std::vector<ReaderPeer> peers = {
       {"b", false, 10}, {"c", false, 200}, {"d", false, 200}, {"e", false, 0}};
-  cr_assert(RoleOf({"a", false, 10}, peers) == ReaderRole::kTold);
+  cr_assert(RoleOf({"a", false, 10}, peers) == ReaderRole::kNonReader);
   cr_assert(RoleOf({"a", false, 200}, peers) == ReaderRole::kFirst);
   cr_assert(RoleOf({"f", false, 1000}, peers) == ReaderRole::kFirst);
   cr_assert(RoleOf({"cc", false, 200}, peers) == ReaderRole::kSecond);
-  cr_assert(RoleOf({"a", false, 0}, peers) == ReaderRole::kTold);
+  cr_assert(RoleOf({"a", false, 0}, peers) == ReaderRole::kNonReader);
 }
 
 // With the wide ones cut off from the store a narrow one has to read.
-Test(order_readers, a_narrow_line_is_better_than_none) {
+Test(order_readers, a_node_with_low_bandwidth_reads_if_no_other_can) {
   const std::vector<ReaderPeer> peers = {
       {"b", false, 10}, {"c", true, 200}, {"d", true, 200}};
   cr_assert(RoleOf({"a", false, 10}, peers) == ReaderRole::kFirst);
--- a/tests/unit/spread_test.cc
+++ b/tests/unit/spread_test.cc
@@ -22,43 +22,43 @@
 
 Test(spread, a_change_reaches_all_nodes_with_lost_and_repeated_messages) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Network net({.loss = 0.05, .repeat = 0.05}, seed);
+    Network net({.loss = 0.05, .duplication = 0.05}, seed);
     AddNodes(net, "bole", 60);
     net.Publish();
     net.StartAll();
     net.Run(seconds(10));
-    cr_assert(net.ShareHolding(net.log.back()) == 1.0);
+    cr_assert(net.FractionHolding(net.log.back()) == 1.0);
     for (int change = 0; change < 20; ++change) {
       const ConfigVersion next = net.Publish();
       net.Run(seconds(3));
-      cr_assert(net.ShareHolding(next) == 1.0);
+      cr_assert(net.FractionHolding(next) == 1.0);
     }
     cr_assert(net.violations.empty(), "%s", FirstViolation(net));
   }
 }
 
 // One disturbance of a running network, chosen at random.
-void Disturb(Network& net) {
-  const std::size_t victim = net.rng() % net.nodes.size();
-  Node& node = *net.nodes[victim];
+void InjectFault(Network& net) {
+  const std::size_t target = net.rng() % net.nodes.size();
+  Node& node = *net.nodes[target];
   switch (net.rng() % 9) {
     case 0:
-      return net.Kill(victim);
+      return net.Kill(target);
     case 1:
     case 2:
-      return net.Start(victim);
+      return net.Start(target);
     case 3:
-      return net.Pause(victim, milliseconds(net.rng() % 8000));
+      return net.Pause(target, milliseconds(net.rng() % 8000));
     case 4:
-      node.group = static_cast<int>(net.rng() % 2);
+      node.partition = static_cast<int>(net.rng() % 2);
       return;
     case 5:
       net.log_up = !net.log_up;
       return;
     case 6:
-      net.log_cut.clear();
+      net.cut_from_log.clear();
       if (net.rng() % 2 == 0)
-        net.log_cut.push_back(node.data_center);
+        net.cut_from_log.push_back(node.data_center);
       return;
     default:
       net.Publish();
@@ -67,9 +67,9 @@
 
 void Heal(Network& net) {
   net.log_up = true;
-  net.log_cut.clear();
+  net.cut_from_log.clear();
   for (std::size_t i = 0; i < net.nodes.size(); ++i) {
-    net.nodes[i]->group = 0;
+    net.nodes[i]->partition = 0;
     if (!net.nodes[i]->up)
       net.Start(i);
   }
@@ -81,14 +81,15 @@
 // one that stayed behind after the trouble would do so for good.
 Test(spread, no_vm_goes_back_and_all_converge_over_many_seeds) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    Network net({.loss = 0.1, .repeat = 0.1, .jitter = milliseconds(40)}, seed);
+    Network net({.loss = 0.1, .duplication = 0.1, .jitter = milliseconds(40)},
+                seed);
     AddNodes(net, "bole", 5);
     AddNodes(net, "piassa", 4);
     net.Publish();
     net.StartAll();
     net.Run(seconds(6));
     for (int step = 0; step < 60; ++step) {
-      Disturb(net);
+      InjectFault(net);
       net.Run(milliseconds(net.rng() % 3000));
     }
     Heal(net);
@@ -97,8 +98,9 @@
     net.Run(seconds(5));
     cr_assert(net.violations.empty(), "seed %d: %s", static_cast<int>(seed),
               FirstViolation(net));
-    cr_assert(net.ShareHolding(last) == 1.0, "seed %d", static_cast<int>(seed));
-    cr_assert(net.Share([](const Node& node) {
+    cr_assert(net.FractionHolding(last) == 1.0, "seed %d",
+              static_cast<int>(seed));
+    cr_assert(net.FractionOf([](const Node& node) {
       return IsReady(node.spread);
     }) == 1.0);
   }
@@ -115,8 +117,8 @@
     net.StartAll();
     net.Run(seconds(8));
     // Two of the seeds are cut off and miss a change.
-    net.nodes[0]->group = 1;
-    net.nodes[1]->group = 1;
+    net.nodes[0]->partition = 1;
+    net.nodes[1]->partition = 1;
     const ConfigVersion newer = net.Publish();
     net.Run(seconds(10));
     cr_assert(net.nodes[6]->spread.held == newer);
@@ -124,13 +126,13 @@
     net.Kill(6);
     net.Run(seconds(2));
     // It returns on the lagging side.
-    net.nodes[6]->group = 1;
+    net.nodes[6]->partition = 1;
     net.Start(6);
     net.Run(seconds(30));
     cr_assert(!IsReady(net.nodes[6]->spread));
     cr_assert(net.nodes[6]->spread.held == 0);
     for (const auto& node : net.nodes)
-      node->group = 0;
+      node->partition = 0;
     net.Run(seconds(20));
     cr_assert(IsReady(net.nodes[6]->spread), "seed %d", static_cast<int>(seed));
     cr_assert(net.nodes[6]->spread.held == newer);
@@ -163,11 +165,11 @@
   net.Publish();
   net.StartAll();
   net.Run(seconds(8));
-  net.log_cut = {"piassa"};
+  net.cut_from_log = {"piassa"};
   for (int change = 0; change < 10; ++change) {
     const ConfigVersion next = net.Publish();
     net.Run(seconds(5));
-    cr_assert(net.ShareHolding(next) == 1.0);
+    cr_assert(net.FractionHolding(next) == 1.0);
   }
 }
 
@@ -186,13 +188,14 @@
     }
     const ConfigVersion next = net.Publish();
     net.Run(seconds(5));
-    cr_assert(net.ShareHolding(next) == 1.0, "seed %d", static_cast<int>(seed));
+    cr_assert(net.FractionHolding(next) == 1.0, "seed %d",
+              static_cast<int>(seed));
   }
 }
 
 // Both readers live on, but their own way to the log is broken. The failure
 // detector has nothing to say against them, and no change would arrive.
-Test(spread, readers_that_lose_the_log_are_stood_in_for) {
+Test(spread, standbys_replace_readers_that_lose_the_log) {
   Network net({}, 5);
   AddNodes(net, "bole", 20);
   net.Publish();
@@ -200,12 +203,12 @@
   net.Run(seconds(10));
   for (const auto& node : net.nodes) {
     if (IsReader(node->spread, net.now))
-      net.log_cut.push_back(node->id);
+      net.cut_from_log.push_back(node->id);
   }
-  cr_assert(net.log_cut.size() == 2);
+  cr_assert(net.cut_from_log.size() == 2);
   const ConfigVersion next = net.Publish();
   net.Run(seconds(4));
-  cr_assert(net.ShareHolding(next) == 1.0);
+  cr_assert(net.FractionHolding(next) == 1.0);
 }
 
 // A fifth of the nodes dies just before a change. Each dead node in the tree
@@ -223,21 +226,21 @@
     }
     const ConfigVersion next = net.Publish();
     net.Run(seconds(2));
-    cr_assert(net.ShareHolding(next) == 1.0, "seed %d share %g",
-              static_cast<int>(seed), net.ShareHolding(next));
+    cr_assert(net.FractionHolding(next) == 1.0, "seed %d share %g",
+              static_cast<int>(seed), net.FractionHolding(next));
   }
 }
 
 struct HerdResult {
   std::uint64_t log_reads = 0;
-  std::uint64_t most_served = 0;
+  std::uint64_t max_served = 0;
   double seconds_to_ready = 0;
 };
 
 // All nodes die at once and come back at once, with nothing.
 HerdResult RunHerd(std::size_t count, std::uint64_t seed) {
-  Network net({.loss = 0.02, .snapshot_bytes = 200000, .through_frames = false},
-              seed);
+  Network net(
+      {.loss = 0.02, .snapshot_bytes = 200000, .encode_messages = false}, seed);
   AddNodes(net, "bole", count);
   for (int i = 0; i < 20; ++i)
     net.Publish();
@@ -250,7 +253,7 @@
   const std::uint64_t reads_before = net.log_reads;
   const auto ready = [](const Node& node) { return IsReady(node.spread); };
   HerdResult result;
-  while (net.Share(ready) < 1.0 && result.seconds_to_ready < 60) {
+  while (net.FractionOf(ready) < 1.0 && result.seconds_to_ready < 60) {
     net.Run(milliseconds(250));
     result.seconds_to_ready += 0.25;
   }
@@ -263,7 +266,7 @@
          {SpreadCount::kSnapshotServed, SpreadCount::kChainServed,
           SpreadCount::kPushSent, SpreadCount::kPushRetried})
       served += node->spread.counts.at(static_cast<std::size_t>(sent));
-    result.most_served = std::max(result.most_served, served);
+    result.max_served = std::max(result.max_served, served);
   }
   cr_assert(net.violations.empty(), "%s", FirstViolation(net));
   return result;
@@ -279,18 +282,18 @@
         "herd of %zu: %lu log reads in 20 s, %lu transfers at most "
         "from one node, ready after %.2f s\n",
         count, static_cast<unsigned long>(herd.log_reads),
-        static_cast<unsigned long>(herd.most_served), herd.seconds_to_ready);
+        static_cast<unsigned long>(herd.max_served), herd.seconds_to_ready);
     // Two readers at four reads a second for 20 s, and as much again while the
     // member lists fill.
-    constexpr std::uint64_t kMostReads = 320;
-    cr_assert(herd.log_reads <= kMostReads);
-    cr_assert(herd.most_served <= 40);
+    constexpr std::uint64_t kMaxReads = 320;
+    cr_assert(herd.log_reads <= kMaxReads);
+    cr_assert(herd.max_served <= 40);
     cr_assert(herd.seconds_to_ready <= 15);
   }
 }
 
 // A transfer is asked of a node that already serves as many as it may.
-Test(spread, a_busy_node_says_when_to_come_back) {
+Test(spread, a_busy_node_returns_a_retry_delay) {
   Rng rng(1);
   Member self;
   self.id = "vm-0";
@@ -305,9 +308,9 @@
     cr_assert(std::holds_alternative<PullReply>(served.sends.at(0).message));
   }
   const SpreadActions busy = ReceiveSpread(state, request, now, rng);
-  const auto* answer = std::get_if<PullBusy>(&busy.sends.at(0).message);
-  cr_assert(answer != nullptr);
-  cr_assert(answer->retry_after_ms >= 400);
+  const auto* response = std::get_if<PullBusy>(&busy.sends.at(0).message);
+  cr_assert(response != nullptr);
+  cr_assert(response->retry_after_ms >= 400);
   const SpreadActions later =
       ReceiveSpread(state, request, now + seconds(1), rng);
   cr_assert(std::holds_alternative<PullReply>(later.sends.at(0).message));
@@ -316,7 +319,7 @@
 // A snapshot needs seconds over a narrow line. The node waits while its bytes
 // come: asked of another peer each second, all copies would come later. When
 // they stop coming it asks another.
-Test(spread, an_answer_on_its_way_is_waited_for) {
+Test(spread, a_pull_is_not_resent_while_its_response_arrives) {
   Rng rng(1);
   Member self;
   self.id = "vm-0";
@@ -332,10 +335,10 @@
   (void)ObserveVersion(state, {peer.id, peer.incarnation, peer.control, 5, {}},
                        now, rng);
   int asked = 0;
-  const auto run_until = [&](TimePoint end, bool bytes_come) {
+  const auto run_until = [&](TimePoint end, bool bytes_arrive) {
     for (; now < end; now += std::chrono::milliseconds(50)) {
-      if (bytes_come)
-        HearStream(state, "10.0.0.1", now);
+      if (bytes_arrive)
+        ObserveStreamBytes(state, "10.0.0.1", now);
       for (const SendMessage& send : TickSpread(state, now, rng).sends)
         asked += std::holds_alternative<PullRequest>(send.message) ? 1 : 0;
     }
@@ -356,7 +359,7 @@
   TimePoint now{seconds(1000)};
   SpreadState state = MakeSpread({}, self, now);
   SpreadActions actions =
-      LogRead(state, {{5, 0, 1, true, "five"}}, now, true, now, rng);
+      ObserveLogRead(state, {{5, 0, 1, true, "five"}}, now, true, now, rng);
   cr_assert(actions.apply.size() == 1);
   actions = ConfirmApplied(state, {5, 0, 1, true, "five"}, now, rng);
   Member peer = self;
