--- a/include/teaselspread/order_readers.h
+++ b/include/teaselspread/order_readers.h
@@ -1,10 +1,11 @@
-// Which nodes of a data centre read the operators' stream from the store.
-//
-// A call costs the store and its owners the same whoever makes it, so two nodes
-// of each data centre read and the others are told over their links. One reader
-// alone would leave its data centre without news while it is cut off from the
+// Selects the nodes of a data centre that read the operators' stream from the
 // store.
 //
+// A call costs the store and its owners the same from any node, so two nodes of
+// each data centre read and send the changes to the others over their links.
+// With one reader alone, its data centre would receive no change while it is
+// cut off from the store.
+//
 // Pure: the caller passes everything in. Thread safe.
 #ifndef TEASELSPREAD_ORDER_READERS_H_
 #define TEASELSPREAD_ORDER_READERS_H_
@@ -18,36 +19,36 @@
 namespace teaselspread {
 
 enum class ReaderRole : std::uint8_t {
-  // Others of the data centre read.
+  // Does not read; others of the data centre do.
   kNonReader,
-  // Reads, and asks again at long intervals while nothing is new.
+  // Reads; while nothing is new, queries again at long intervals.
   kSecond,
-  // Reads, and asks again often enough to notice a store that fell silent.
+  // Reads; queries again often enough to detect an unresponsive store.
   kFirst,
 };
 
 // "told", "second" or "first". Thread safe.
 [[nodiscard]] std::string_view NameOf(ReaderRole role);
 
-// Another node of the own data centre that a link reaches.
+// Another node of the same data centre that a link reaches.
 struct ReaderPeer {
   std::string_view node;
   // Its last call to the store failed, or it is about to stop.
   bool store_lost = false;
-  // What its line carries, in Mbit/s; 0 when that is not known.
+  // Its bandwidth in Mbit/s; 0 when unknown.
   std::uint32_t line_mbit = 0;
 };
 
-// Of those that may reach the store the two with the widest lines read, the
-// first by name among equals: a reader takes in each change whole and hands it
-// on. A node that lost the store is not counted by the others, and goes on
-// trying while it would be a reader itself. Thread safe.
+// Of the nodes that may reach the store the two with the most bandwidth read,
+// the first by name among equals: a reader receives each change whole and
+// forwards it. A node that lost the store is not counted by the others, and
+// keeps trying while it would be a reader itself. Thread safe.
 [[nodiscard]] ReaderRole RoleOf(const ReaderPeer& self,
                                 std::span<const ReaderPeer> peers);
 
-// How long a read of a reader waits for news. A store or a connection that
-// falls silent is noticed after it, so the first reader's bounds how late the
-// data centre hears of a change made meanwhile.
+// How long a reader's read waits for new records. An unresponsive store or
+// connection is detected after it, so the first reader's wait bounds how late
+// the data centre receives a change made meanwhile.
 [[nodiscard]] Duration ReadWaitOf(ReaderRole role);
 
 }  // namespace teaselspread
--- a/include/teaselspread/record_store.h
+++ b/include/teaselspread/record_store.h
@@ -1,6 +1,6 @@
-// What has to last: keyed records in the store that the platform runs.
+// Durable storage: keyed records in the store that the platform runs.
 //
-// The node says what it needs in these terms; an adapter speaks the store's own
+// The node uses this interface; an adapter implements it over the store's own
 // protocol. All functions belong to the thread that runs the node's loop.
 #ifndef TEASELSPREAD_RECORD_STORE_H_
 #define TEASELSPREAD_RECORD_STORE_H_
@@ -16,18 +16,18 @@
 
 namespace teaselspread {
 
-// How a call ended. After kUnknown it may have been executed, or may yet be.
+// Outcome of a call. After kUnknown it may have been executed, or may yet be.
 enum class StoreOutcome : std::uint8_t {
   kOk,
-  // Over the agreed rate of calls; nothing was done.
+  // Above the agreed call rate; nothing was done.
   kThrottled,
   // Nothing was done.
   kUnavailable,
-  // The records that were asked for have expired.
+  // The requested records have expired.
   kExpired,
   // The condition of an append did not hold; nothing was done.
   kConflict,
-  // No answer came.
+  // No response was received.
   kUnknown,
   kMalformed,
   kCount,
@@ -36,7 +36,7 @@
 // Stable name for logs and metrics. Thread safe.
 [[nodiscard]] std::string_view NameOf(StoreOutcome outcome);
 
-// Operators' orders, the nodes' own list, and what operators read.
+// Operators' orders, the list of nodes, and reports for operators.
 enum class RecordStream : std::uint8_t { kOrders, kNodes, kReports, kCount };
 
 // Stable name for logs and metrics. Thread safe.
@@ -51,35 +51,38 @@
 struct RecordPage {
   StoreOutcome outcome = StoreOutcome::kUnknown;
   std::vector<StoredRecord> records;
-  // Where the next read goes on.
+  // Offset at which the next read continues.
   std::uint64_t next_offset = 0;
-  // For ReadNewest: ask again after the last key.
+  // For read_newest: more keys follow, to be read after the last one.
   bool has_more = false;
 };
 
 struct AppendResult {
   StoreOutcome outcome = StoreOutcome::kUnknown;
-  // The stream's end after the append, or what it is after a conflict.
+  // The stream's end after the append, or its current end after a conflict.
   std::uint64_t end = 0;
 };
 
-// Each function returns at once and calls its last argument once, later.
+// Each function with a `done` returns at once and calls it once, later.
 struct RecordStore {
-  // Records of `stream` from offset `from` on; waits up to `wait` for one.
+  // Reads records of `stream` from offset `from` on; waits up to `wait` for
+  // one.
   std::function<void(RecordStream stream,
                      std::uint64_t from,
                      Duration wait,
                      std::function<void(RecordPage)> done)>
       read_from;
-  // The newest record of each key, in the order of the keys, after `after`.
+  // Reads the newest record of each key after `after`, in the order of the
+  // keys.
   std::function<void(RecordStream stream,
                      const std::string& after,
                      std::function<void(RecordPage)> done)>
       read_newest;
-  // When bytes of an answer to a read of `stream` came last; the epoch before
-  // the first. An answer that comes slowly is not lost. May be empty.
+  // When bytes of a response to a read of `stream` last arrived; the epoch
+  // before the first. Distinguishes a slow response from a lost one. May be
+  // empty.
   std::function<TimePoint(RecordStream stream)> last_received;
-  // Adds a record; with `expected_end` only if the stream ends there.
+  // Appends a record; with `expected_end` only if the stream ends there.
   std::function<void(RecordStream stream,
                      const StoredRecord& record,
                      std::optional<std::uint64_t> expected_end,
--- a/include/teaselspread/spread.h
+++ b/include/teaselspread/spread.h
@@ -1,9 +1,10 @@
-// Bringing each accepted configuration to every node of a data centre, and
-// never taking a node back.
+// Distributes each accepted configuration to every node of a data centre and
+// never returns a node to an older version.
 //
-// Few nodes read the log; updates go along a tree, and what the tree misses is
-// pulled. Content is opaque here. Before a node holds a version it tells its
-// witnesses, and after a restart it asks them, so it cannot end up below.
+// Few nodes read the log; updates are pushed along a tree, and nodes pull what
+// the tree did not deliver. Content is opaque here. Before a node holds a
+// version it reports it to its witnesses, and after a restart it queries them,
+// so that it cannot hold a lower one.
 //
 // Pure: (state, event, now, rng) -> actions. Nothing here is thread safe; one
 // thread owns a SpreadState.
@@ -28,48 +29,51 @@
 namespace teaselspread {
 
 struct SpreadSettings {
-  // Live members that read the log, by rank; as many speak to the other data
-  // centres.
+  // Live members that read the log, by rank; they also exchange versions with
+  // the other data centres.
   std::size_t readers = 2;
-  // The next ranks read too while no reader has said, for `standby_patience`,
-  // that it has reached the log's end lately. Readers say so every
+  // Members of the next ranks that also read while no reader has reported, for
+  // `standby_timeout`, a recent read to the log's end. Readers report every
   // `heartbeat_interval`.
   std::size_t standbys = 2;
   Duration standby_timeout = std::chrono::milliseconds(1200);
   Duration heartbeat_interval = std::chrono::milliseconds(400);
-  // A starting node waits this long before it counts itself as a reader: with
-  // an empty member list each node of a returning herd would be one.
+  // Time from the start until a node may be a reader: while its member list is
+  // empty, each of many nodes that restart together would be one.
   Duration reader_delay = std::chrono::milliseconds(1500);
   std::size_t fan_out = 4;
   Duration push_retry = std::chrono::milliseconds(150);
   int push_attempts = 2;
-  // The reader of rank r waits r times this before it starts a push of its own.
+  // The reader of rank r delays a push of its own by r times this.
   Duration reader_stagger = std::chrono::milliseconds(150);
-  // Time for the tree to deliver before a higher version is pulled.
+  // Time allowed to the tree before a higher version is pulled.
   Duration pull_delay = std::chrono::milliseconds(500);
   Duration pull_jitter = std::chrono::milliseconds(200);
   Duration pull_timeout = std::chrono::seconds(1);
   // Transfers that one node serves at a time, and the rate that they share.
   std::size_t transfer_slots = 2;
   std::size_t transfer_bytes_per_second = 1U << 20;
-  // Nodes told before a version is held; more than half of them must confirm.
+  // Nodes to which a version is reported before it is held; more than half of
+  // them must confirm.
   std::size_t witnesses = 3;
   Duration record_retry = std::chrono::milliseconds(200);
-  // After this time a version read from the log itself is held without them.
+  // After this time a version read from the log itself is held without their
+  // confirmation.
   Duration record_timeout = std::chrono::seconds(3);
   Duration record_repair_interval = std::chrono::seconds(2);
   Duration floor_retry = std::chrono::milliseconds(500);
   Duration notice_interval = std::chrono::seconds(1);
   std::size_t notice_fan_out = 3;
-  // Deltas kept for others.
+  // Limits of the deltas kept to serve other nodes.
   std::size_t max_kept_deltas = 256;
   std::size_t max_kept_delta_bytes = 1U << 20;
-  // A gone member's highest version is kept this long.
+  // How long the highest version of a departed member is kept.
   Duration gone_member_retention = std::chrono::hours(24);
-  // A timer this late means a pause: do not vouch for a while.
+  // A timer later than this indicates a pause of the process, after which the
+  // node does not vouch for `vouch_suspension`.
   Duration pause_threshold = std::chrono::milliseconds(700);
   Duration vouch_suspension = std::chrono::seconds(5);
-  // Some control addresses of each other data centre, by its name.
+  // Control addresses of some nodes of each other data centre, by its name.
   std::map<std::string, std::vector<Address>> remotes;
 };
 
@@ -99,35 +103,36 @@
   std::string id;
   Address control;
   MemberStatus status = MemberStatus::kAlive;
-  // Restart that is running now, and the earliest one ever seen.
+  // Start of the running process, and the earliest start ever seen.
   std::uint64_t start = 0;
   std::uint64_t first_start = 0;
-  // What the running start last said that it holds.
+  // Version last reported as held since that start.
   ConfigVersion held = 0;
-  // Highest version that any start of it is known to have held.
+  // Highest version that it is known to have held since any start.
   ConfigVersion highest_held = 0;
-  // This node was settled when it first heard of the peer. Otherwise earlier
-  // starts of it may have been missed.
+  // The floor of this node was settled when it first learned of the peer.
+  // Otherwise it may have missed earlier starts of the peer.
   bool settled_when_first_seen = false;
-  // The peer itself named this node as its witness.
+  // The peer itself sent this node a RecordHeld, as one of its witnesses.
   bool recorded = false;
   TimePoint gone_since;
   std::uint64_t reader_rank = 0;
   std::uint64_t witness_rank = 0;
 };
 
-// One push that waits for its PushAck.
+// A push without a PushAck so far.
 struct Delivery {
   ConfigVersion version = 0;
   std::size_t index = 0;
   std::string target;
   int attempts = 0;
   TimePoint due;
-  // Started here and not yet sent: void once the tree brings the version.
+  // Starts at this node and is not sent yet: cancelled if the version arrives
+  // over the tree.
   bool origin = false;
 };
 
-// The version that is being told to the witnesses.
+// The version that is being reported to the witnesses.
 struct Recording {
   ConfigVersion version = 0;
   TimePoint started;
@@ -148,7 +153,7 @@
   bool remote = false;
 };
 
-// A version known to have been the log's newest at a time.
+// A version that was the log's newest at `as_of`.
 struct Freshness {
   ConfigVersion version = 0;
   TimePoint as_of;
@@ -164,20 +169,20 @@
   bool leaving = false;
   std::map<std::string, SpreadPeer> peers;
 
-  // Configuration: what is in force here, the same as bytes, and the deltas
-  // around it by version.
+  // The version in force here, its whole configuration, and the updates below
+  // and above it by version.
   ConfigVersion held = 0;
   ConfigUpdate snapshot;
   std::map<ConfigVersion, ConfigUpdate> updates;
   std::size_t update_bytes = 0;
-  // Handed out to be applied; 0 when none.
+  // Version handed out to be applied; 0 when none.
   ConfigVersion applying = 0;
   std::set<ConfigVersion> versions_from_log;
 
   Freshness pending_freshness;
   TimePoint fresh_as_of;
 
-  // Never-back after a restart.
+  // After a restart: keeps this VM from holding less than before.
   bool floor_settled = false;
   ConfigVersion floor = 0;
   std::map<std::uint32_t, TimePoint> floor_queries;
@@ -191,21 +196,21 @@
 
   std::vector<Delivery> deliveries;
   std::optional<Pull> pull;
-  // The deltas at hand did not apply: the next pull asks for a snapshot.
+  // The stored deltas did not apply: the next pull requests a snapshot.
   bool snapshot_wanted = false;
-  // Highest version heard of, here or in another data centre.
+  // Highest version reported in this or another data centre.
   ConfigVersion highest_known = 0;
   std::optional<std::pair<Address, ConfigVersion>> remote_source;
-  // When each running transfer is over.
+  // When each transfer in progress ends.
   std::vector<TimePoint> transfer_ends;
 
   std::map<std::string, std::vector<SpeakerAddress>> remote_speakers;
   std::map<std::uint32_t, TimePoint> notices_sent;
   TimePoint next_notice;
 
-  // Place among the live members by reader rank; 0 is the first reader.
+  // Position among the live members by reader rank; 0 is the first reader.
   std::size_t reader_position = 0;
-  // When a reader with a fresh view of the log was last heard.
+  // When a reader with a fresh view of the log last sent a heartbeat.
   TimePoint last_reader_heartbeat;
   TimePoint next_heartbeat;
   bool was_reader = false;
@@ -219,16 +224,16 @@
 
 struct SpreadActions {
   std::vector<SendMessage> sends;
-  // To be applied in this order, as one step. Answer with ConfirmApplied or
-  // RejectUpdate; until then no more are handed out.
+  // To be applied in this order, as one step. Report the result with
+  // ConfirmApplied or RejectUpdate; until then no more are handed out.
   std::vector<ConfigUpdate> apply;
-  // Read the state again: IsReader or IsReady has changed.
+  // IsReader or IsReady has changed.
   bool reader_changed = false;
   bool ready_changed = false;
 };
 
-// A node that has just started and holds nothing. `self.incarnation` is
-// IncarnationAt of the start.
+// State of a node that has just started and holds nothing. `self.incarnation`
+// is IncarnationAt of the start.
 [[nodiscard]] SpreadState MakeSpread(const SpreadSettings& settings,
                                      const Member& self,
                                      TimePoint now);
@@ -240,37 +245,38 @@
                                        TimePoint now,
                                        Rng& rng);
 
-// Feed Membership::self.incarnation after each membership call. It jumps when
-// the VM's clock went back over a restart and others know a later start.
+// Call with Membership::self.incarnation after each membership call. It is
+// raised when the VM's clock was set back across a restart and other nodes know
+// a later start.
 void SetIncarnation(SpreadState& state, std::uint64_t incarnation);
 
-// Feed every entry of MembershipActions::changes.
+// Call for every entry of MembershipActions::changes.
 [[nodiscard]] SpreadActions ObserveMember(SpreadState& state,
                                           const Member& member,
                                           TimePoint now,
                                           Rng& rng);
 
-// Feed every entry of MembershipActions::versions.
+// Call for every entry of MembershipActions::versions.
 [[nodiscard]] SpreadActions ObserveVersion(SpreadState& state,
                                            const PeerVersion& peer,
                                            TimePoint now,
                                            Rng& rng);
 
-// Takes in one message of this module; other kinds are ignored. The same
-// message goes to ReceiveMembership too, which reports the sender's version.
+// Handles one message of this module; other kinds are ignored. Pass the same
+// message to ReceiveMembership, which reports the sender's version.
 [[nodiscard]] SpreadActions ReceiveSpread(SpreadState& state,
                                           const Message& message,
                                           TimePoint now,
                                           Rng& rng);
 
-// Bytes of a stream that is not whole yet came from the IP number `host`. An
-// answer of which bytes come is waited for: asked for again, it would share a
-// narrow line with its own repeats, and all of them would come later.
+// Call when bytes of an incomplete stream arrive from the IP address `host`.
+// Extends the time-out of a pull from there: requested again, the response
+// would share a slow connection with its own copies, and all would be delayed.
 void ObserveStreamBytes(SpreadState& state,
                         std::string_view host,
                         TimePoint now);
 
-// A read of the log by a reader: the accepted updates found, in order (a
+// Result of a reader's read of the log: the accepted updates found, in order (a
 // checkpoint is a full one). `reached_end`: nothing was left to read at
 // `read_started`, which is the local time before the read was sent.
 [[nodiscard]] SpreadActions ObserveLogRead(
@@ -281,33 +287,35 @@
     TimePoint now,
     Rng& rng);
 
-// The handed out updates are in force; `full` is the whole configuration of
+// The updates handed out are in force; `full` is the whole configuration of
 // that version, kept to serve others. Precondition: full.full.
 [[nodiscard]] SpreadActions ConfirmApplied(SpreadState& state,
                                            const ConfigUpdate& full,
                                            TimePoint now,
                                            Rng& rng);
 
-// The handed out updates did not apply (kDigestMismatch, kMissingParent): they
+// The updates handed out did not apply (kDigestMismatch, kMissingParent): they
 // are dropped, and a snapshot is pulled from another node.
 [[nodiscard]] SpreadActions RejectUpdate(SpreadState& state,
                                          TimePoint now,
                                          Rng& rng);
 
-// A planned stop: no longer a reader.
+// Call before a planned stop: the node is no longer a reader.
 void LeaveSpread(SpreadState& state);
 
-// This node reads the log and speaks to the other data centres.
+// Whether this node reads the log and exchanges versions with the other data
+// centres.
 [[nodiscard]] bool IsReader(const SpreadState& state, TimePoint now);
 
-// Holds a configuration, and at least the floor of this VM.
+// Whether the node holds a configuration that is at or above the floor of this
+// VM.
 [[nodiscard]] bool IsReady(const SpreadState& state);
 
-// Ids of the current readers, by rank; with standbys after them if asked.
+// Ids of the current readers by rank; `with_standbys` appends the standbys.
 [[nodiscard]] std::vector<std::string> ReadersOf(const SpreadState& state,
                                                  bool with_standbys = false);
 
-// This node's sender part of a message.
+// Sender fields of a message from this node.
 [[nodiscard]] Sender SenderOf(const SpreadState& state, TimePoint now);
 
 }  // namespace teaselspread
--- a/src/spread/base.cc
+++ b/src/spread/base.cc
@@ -42,7 +42,7 @@
     ranked.emplace_back(spread::RankOf(state.id, spread::kReaderSeed),
                         &state.id);
   for (const auto& [id, peer] : state.peers) {
-    // A suspect may be dead: better one reader more than none.
+    // A suspect may be dead: one reader too many is better than none.
     if (peer.status == MemberStatus::kAlive)
       ranked.emplace_back(peer.reader_rank, &id);
   }
@@ -60,13 +60,13 @@
 bool IsReader(const SpreadState& state, TimePoint now) {
   if (state.leaving || now < state.started + state.settings.reader_delay)
     return false;
-  const std::size_t place = state.reader_position;
+  const std::size_t position = state.reader_position;
   const SpreadSettings& settings = state.settings;
-  if (place < settings.readers)
+  if (position < settings.readers)
     return true;
-  // Readers that died, or that alone lost the log, are noticed here long before
-  // the failure detector is sure of it.
-  return place < settings.readers + settings.standbys &&
+  // Replaces readers that died, or that alone lost the log, long before the
+  // failure detector confirms a failure.
+  return position < settings.readers + settings.standbys &&
          now - state.last_reader_heartbeat >= settings.standby_timeout;
 }
 
--- a/src/spread/floor.cc
+++ b/src/spread/floor.cc
@@ -5,8 +5,8 @@
 namespace teaselspread::spread {
 namespace {
 
-// Vouches needed: two of three witnesses, so that any two that confirmed a
-// version and any two that are asked have one in common.
+// Two of three witnesses, so that any two that confirmed a version and any two
+// that vouch have one in common.
 constexpr std::size_t kMinVouches = 2;
 constexpr std::size_t kMaxFloorQueries = 8;
 
@@ -20,8 +20,8 @@
   Advance(call);
 }
 
-// A side of a cut that has lost most members cannot know what the others have
-// told their witnesses since.
+// The minority side of a network partition cannot know what the other members
+// have recorded with their witnesses since.
 bool SeesMajority(const SpreadState& state) {
   std::size_t live = 1;
   std::size_t known = 1;
@@ -62,7 +62,7 @@
     state.fresh_as_of = std::max(state.fresh_as_of, as_of);
   else if (as_of > state.pending_freshness.as_of)
     state.pending_freshness = {version, as_of};
-  // Whatever this VM held before its restart was in the log by then.
+  // Every version that this VM held before its restart was in the log by then.
   if (!state.floor_settled && as_of >= state.started)
     SettleFloor(call, version);
 }
@@ -76,8 +76,8 @@
   state.floor_queries[state.next_sequence] = call.now;
   while (state.floor_queries.size() > kMaxFloorQueries)
     state.floor_queries.erase(state.floor_queries.begin());
-  // Gone ones keep their place: if the two that were told are gone, others
-  // must not be taken for them.
+  // Dead peers keep their rank: if the two that confirmed a version are dead,
+  // others must not count as witnesses in their place.
   std::set<std::string> queried;
   for (const SpreadPeer* peer :
        RankedWitnesses(state, state.settings.witnesses, true)) {
@@ -112,7 +112,7 @@
   const auto query_sent = state.floor_queries.find(reply.sequence);
   if (state.floor_settled || query_sent == state.floor_queries.end())
     return;
-  // Even a reply that vouches for nothing may name a version to reach.
+  // A reply without a vouch may still raise the floor.
   state.floor = std::max(state.floor, reply.floor);
   if (reply.from.log_age_ms != kAgeUnknown) {
     UpdateFreshness(
--- a/src/spread/internal.h
+++ b/src/spread/internal.h
@@ -1,4 +1,4 @@
-// Parts of the spread module that its files share.
+// Declarations shared by the files of the spread module.
 #ifndef TEASELSPREAD_SRC_SPREAD_INTERNAL_H_
 #define TEASELSPREAD_SRC_SPREAD_INTERNAL_H_
 
@@ -10,7 +10,7 @@
 
 namespace teaselspread::spread {
 
-// One call into the module: what its steps share.
+// Context of one call into the module, shared by its steps.
 struct Call {
   SpreadState& state;
   TimePoint now;
@@ -18,10 +18,10 @@
   SpreadActions actions;
 };
 
-// How an update came here decides who is told of it.
+// How an update arrived, which decides where it is forwarded.
 enum class UpdateSource : std::uint8_t { kTree, kLog, kRemote, kPull };
 
-// Ranks a node as reader: any fixed number, the same on all nodes.
+// Hash seed of the reader ranking: any fixed number, the same on all nodes.
 inline constexpr std::uint64_t kReaderSeed = 0x72656164;
 
 // base
@@ -29,7 +29,7 @@
 [[nodiscard]] bool IsLive(const SpreadPeer& peer);
 [[nodiscard]] Duration RandomUpTo(Duration limit, Rng& rng);
 void Send(Call& call, const Address& to, Message message);
-// A transfer: always over a stream.
+// Sends a transfer, always over a stream.
 void SendStream(Call& call, const Address& to, Message message);
 
 // ranking
@@ -38,13 +38,14 @@
 // Ids of live members and this node in the tree order of `version`.
 [[nodiscard]] std::vector<std::string> TreeOrder(const SpreadState& state,
                                                  ConfigVersion version);
-// The best `count` peers as this node's witnesses; gone ones too if asked.
+// The `count` peers that rank highest as this node's witnesses; `include_gone`
+// adds dead ones.
 [[nodiscard]] std::vector<const SpreadPeer*>
 RankedWitnesses(const SpreadState& state, std::size_t count, bool include_gone);
 
-// store: deltas, the tip and what to hand out.
+// store: updates, the tip (the version that they lead to) and what to hand out.
 [[nodiscard]] ConfigVersion TipOf(const SpreadState& state);
-// Keeps `update`; true when it is new and above what is held.
+// Stores `update`; true when it is new and above what is held.
 bool Store(Call& call, const ConfigUpdate& update);
 // Deltas from `have` up to what is held, or the snapshot.
 [[nodiscard]] std::vector<ConfigUpdate> CollectUpdatesSince(
@@ -52,7 +53,7 @@
     ConfigVersion have);
 [[nodiscard]] std::vector<ConfigUpdate> CollectToApply(const SpreadState& state,
                                                        ConfigVersion up_to);
-// Starts recording or handing out whatever can be.
+// Starts recording the tip if it can be applied.
 void Advance(Call& call);
 void HandleUpdate(Call& call, const ConfigUpdate& update, UpdateSource source);
 
@@ -64,7 +65,7 @@
 void TickDeliveries(Call& call);
 
 // pull
-// How long a transfer of `bytes` takes at the rate that a node allows itself.
+// Duration of a transfer of `bytes` at `transfer_bytes_per_second`.
 [[nodiscard]] Duration TransferTime(const SpreadState& state,
                                     std::size_t bytes);
 void PullIfBehind(Call& call, ConfigVersion version);
--- a/src/spread/notice.cc
+++ b/src/spread/notice.cc
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kMaxNoticesSent = 16;
 // One notice in this many goes to a configured address instead of a learned
-// one, so that a data centre whose speakers have all changed is found again.
+// one, so that a data centre whose speakers have all changed is reached again.
 constexpr unsigned kConfiguredAddressOneIn = 4;
 
 std::optional<Address> PickAddress(Call& call, const std::string& name) {
--- a/src/spread/pull.cc
+++ b/src/spread/pull.cc
@@ -13,8 +13,8 @@
   bool remote = false;
 };
 
-// A random peer that holds more than the tip; another data centre's node when
-// no peer does.
+// A random live peer that holds a version above the tip, or else a node of
+// another data centre that does.
 std::optional<Target> PickTarget(Call& call, ConfigVersion tip) {
   const SpreadState& state = call.state;
   std::vector<const SpreadPeer*> ahead;
@@ -52,7 +52,7 @@
   state.highest_known = std::max(state.highest_known, version);
   if (version <= TipOf(state) || state.pull)
     return;
-  // A node that holds nothing waits for no tree.
+  // A node that holds nothing does not wait for the tree.
   SchedulePull(call,
                state.held == 0 ? Duration::zero() : state.settings.pull_delay);
 }
@@ -93,7 +93,7 @@
     Count(state, SpreadCount::kPullBusySent);
     const TimePoint next = *std::min_element(state.transfer_ends.begin(),
                                              state.transfer_ends.end());
-    // Spread over the time that the others in line will need.
+    // Spreads the retries over the time that the other waiting nodes will need.
     const Duration wait =
         (next - call.now) + RandomUpTo(4 * (next - call.now), call.rng);
     const auto millis =
@@ -135,7 +135,7 @@
       state.pull->target != busy.from.control)
     return;
   Count(state, SpreadCount::kPullBusyReceived);
-  // A hostile or broken peer must not stop this node for longer than this.
+  // Limits the delay that a hostile or faulty peer can cause.
   constexpr Duration kMaxBusyWait = std::chrono::seconds(5);
   const Duration wait = std::chrono::milliseconds(busy.retry_after_ms);
   state.pull = Pull{call.now + std::min(wait, kMaxBusyWait), false, {}, false};
--- a/src/spread/push.cc
+++ b/src/spread/push.cc
@@ -44,7 +44,7 @@
   return found == state.updates.end() ? nullptr : &found->second;
 }
 
-// False when the delivery is over.
+// Returns false when the delivery is done or abandoned.
 bool AttemptDelivery(Call& call, Delivery& delivery) {
   SpreadState& state = call.state;
   const ConfigUpdate* update = FindUpdate(state, delivery.version);
@@ -54,8 +54,8 @@
     return false;
   if (delivery.attempts >= state.settings.push_attempts ||
       !IsLive(peer->second)) {
-    // A child that is gone would cost its whole branch the update until the
-    // next pull: serve the branch in its place.
+    // Below a dead child the whole branch would lack the update until the next
+    // pull: push to the child's children instead.
     Count(state, SpreadCount::kPushAdopted);
     const std::vector<std::string> order = TreeOrder(state, delivery.version);
     AddChildren(call, delivery.version, order, delivery.index);
@@ -67,7 +67,7 @@
   delivery.origin = false;
   const bool fits_datagram =
       update->body.size() + kPushOverhead <= kMaxDatagramBytes;
-  // A stream loses nothing by itself; what is large only takes longer.
+  // A stream recovers lost packets itself; a large update only takes longer.
   delivery.due = call.now + state.settings.push_retry +
                  (fits_datagram ? Duration::zero()
                                 : 2 * TransferTime(state, update->body.size()));
@@ -118,7 +118,7 @@
 
 void TickDeliveries(Call& call) {
   SpreadState& state = call.state;
-  // Adopting a branch appends, so indices instead of iterators.
+  // Adopting a branch appends deliveries, so indices instead of iterators.
   for (std::size_t i = 0; i < state.deliveries.size();) {
     if (state.deliveries[i].due > call.now) {
       ++i;
--- a/src/spread/record.cc
+++ b/src/spread/record.cc
@@ -14,8 +14,8 @@
   return asked == 0 ? 0 : asked / 2 + 1;
 }
 
-// Asks the best witnesses first and, with each retry, as many more: the best
-// ones may just have died.
+// Reports to the highest ranked witnesses first and, with each retry, to as
+// many more: the first ones may just have died.
 void NotifyWitnesses(Call& call, Recording& recording) {
   SpreadState& state = call.state;
   recording.witnesses_asked += state.settings.witnesses;
@@ -49,15 +49,16 @@
     return;
   if (state.recording->acks.size() >= Quorum(state))
     return HandOut(call);
-  // Cut from all its witnesses but not from the log: the log is the witness.
+  // Too few witnesses can be reached, but the version was read from the log,
+  // which serves as the witness.
   if (RecordTimedOut(state, call.now)) {
     Count(state, SpreadCount::kAppliedUnwitnessed);
     HandOut(call);
   }
 }
 
-// A witness that restarted has forgotten, and a new member may rank higher: the
-// best live ones are told again what is held.
+// Reports the held version again to the highest ranked live witnesses: one that
+// restarted has lost its records, and a new member may rank higher.
 void RepairRecords(Call& call) {
   SpreadState& state = call.state;
   if (call.now < state.next_repair)
@@ -100,7 +101,7 @@
   SpreadState& state = call.state;
   SpreadPeer& peer = state.peers[record.from.id];
   if (peer.id.empty()) {
-    // Not heard of as a member yet: remembered, but not counted as live.
+    // Not known as a member yet: stored, but not counted as live.
     peer.id = record.from.id;
     peer.status = MemberStatus::kLeft;
     peer.control = record.from.control;
--- a/src/spread/spread.cc
+++ b/src/spread/spread.cc
@@ -10,8 +10,8 @@
 
 using spread::Call;
 
-// A paused node missed what others told it. If it vouched at once, from what it
-// knew before, a restarted VM could be told too low a floor.
+// A paused node has missed reports of other nodes. If it vouched at once from
+// its old state, a restarted VM could receive too low a floor.
 void HandlePause(Call& call) {
   SpreadState& state = call.state;
   spread::Count(state, SpreadCount::kPauseDetected);
@@ -50,13 +50,13 @@
   });
 }
 
-// Whether `peer` comes before this node as a reader.
+// Whether `peer` ranks before this node as a reader.
 bool RanksBefore(const SpreadState& state, const SpreadPeer& peer) {
   return peer.status == MemberStatus::kAlive &&
          peer.reader_rank > spread::RankOf(state.id, spread::kReaderSeed);
 }
 
-// True when the peer's entry describes this or an older start.
+// Returns false when `start` is older than the known start of the peer.
 bool UpdateStart(SpreadPeer& peer, std::uint64_t start) {
   if (start < peer.start)
     return false;
@@ -100,7 +100,7 @@
   void operator()(const VersionNotice& message) const {
     spread::ReceiveNotice(this->call, message);
   }
-  // Kinds of the membership module.
+  // Messages of the membership module.
   template <class Other>
   void operator()(const Other& /*message*/) const {}
 };
@@ -134,7 +134,7 @@
     wake = std::min(wake, state.recording->due);
   if (state.pull)
     wake = std::min(wake, state.pull->due);
-  // Only readers and standbys have a heartbeat to send or to miss.
+  // Only readers send heartbeats, and only standbys act on missing ones.
   if (state.reader_position < state.settings.readers + state.settings.standbys)
     wake = std::min(wake, state.next_heartbeat);
   for (const Delivery& delivery : state.deliveries)
@@ -181,8 +181,8 @@
     return Finish(call);
   peer.control = member.control;
   peer.held = std::max(peer.held, member.held);
-  // Kept up step by step: counting 833 peers at each of 833 news of a join was
-  // most of a node's work.
+  // Updated incrementally: counting 833 peers at each of the 833 member updates
+  // of a join was most of a node's work.
   if (RanksBefore(state, peer))
     --state.reader_position;
   peer.status = member.status;
@@ -201,7 +201,7 @@
                              Rng& rng) {
   Call call{state, now, rng, {}};
   Begin(call);
-  // Nodes of other data centres are heard of through notices alone.
+  // Versions of nodes in other data centres arrive only in notices.
   const auto found = state.peers.find(version.id);
   if (found == state.peers.end())
     return Finish(call);
--- a/src/spread/store.cc
+++ b/src/spread/store.cc
@@ -16,14 +16,14 @@
   while (!state.updates.empty() &&
          (state.updates.size() > state.settings.max_kept_deltas ||
           state.update_bytes > state.settings.max_kept_delta_bytes)) {
-    // Above what is held only the oldest is needed next: never drop that.
+    // The oldest update above the held version is needed next: never drop it.
     if (state.updates.begin()->first > state.held)
       return;
     Erase(state, state.updates.begin());
   }
 }
 
-// The update that can follow `version` directly; nullptr when there is a gap.
+// The update that applies directly to `version`; nullptr when there is a gap.
 const ConfigUpdate* NextUpdate(const SpreadState& state,
                                ConfigVersion version) {
   for (auto row = state.updates.upper_bound(version);
@@ -53,7 +53,7 @@
   if (!added) {
     if (!update.full || row->second.full)
       return false;
-    // A snapshot closes the gap that its delta could not.
+    // A snapshot needs no parent, so it closes a gap that its delta cannot.
     state.update_bytes -= row->second.body.size();
     row->second = update;
   }
@@ -91,7 +91,7 @@
     const ConfigUpdate* next = NextUpdate(state, reached);
     if (next == nullptr)
       break;
-    // Whatever a snapshot replaces need not be applied before it.
+    // Updates before a snapshot need not be applied.
     if (next->full)
       chain.clear();
     chain.push_back(*next);
--- a/src/store/order_readers.cc
+++ b/src/store/order_readers.cc
@@ -9,8 +9,8 @@
 constexpr std::array<std::string_view, 3> kRoleNames = {"told", "second",
                                                         "first"};
 
-// With the time until an overdue read is doubted this stays below the three
-// seconds within which nodes have to follow a store that is back.
+// Together with the time until a read counts as overdue, this stays below the
+// three seconds within which nodes have to follow a store that has recovered.
 constexpr Duration kFirstWait = std::chrono::milliseconds(1500);
 constexpr Duration kSecondWait = std::chrono::seconds(10);
 
--- a/tests/support/network.h
+++ b/tests/support/network.h
@@ -1,6 +1,7 @@
 // An in-memory message network on a virtual clock, for nodes made of the
-// membership and spread modules. It loses, repeats, delays and crosses
-// messages, and cuts, pauses, kills and restarts nodes; one seed repeats a run.
+// membership and spread modules. It drops, duplicates, delays and reorders
+// messages, and partitions, pauses, kills and restarts nodes; a run is
+// reproducible from its seed.
 #ifndef TEASELSPREAD_TESTS_SUPPORT_NETWORK_H_
 #define TEASELSPREAD_TESTS_SUPPORT_NETWORK_H_
 
@@ -29,7 +30,7 @@
   double loss = 0;
   double duplication = 0;
   Duration latency = std::chrono::microseconds(500);
-  // Added at random, so that messages cross.
+  // Upper bound of a random extra delay, which reorders messages.
   Duration jitter = milliseconds(2);
   Duration log_poll = milliseconds(250);
   Duration log_latency = milliseconds(5);
@@ -37,11 +38,11 @@
   std::size_t snapshot_bytes = 20000;
   // The log serves whole configurations instead of deltas.
   bool full_updates = false;
-  // Each message is encoded and decoded on its way.
+  // Each message is encoded and decoded in transit.
   bool encode_messages = true;
 };
 
-// One VM over all its starts.
+// One VM across its restarts.
 struct Node {
   std::string id;
   std::string data_center;
@@ -56,7 +57,7 @@
   TimePoint wake;
   TimePoint next_poll;
   ConfigVersion log_position = 0;
-  // History: the highest version ever in force on this VM.
+  // Highest version ever in force on this VM, across its restarts.
   ConfigVersion highest_held = 0;
   std::vector<Message> inbox;
   std::map<std::string, std::uint64_t> sent_bytes;
@@ -76,15 +77,15 @@
   std::vector<std::unique_ptr<Node>> nodes;
   std::vector<ConfigVersion> log;
   bool log_up = true;
-  // Data centres and nodes that the log cannot be reached from.
+  // Data centres and nodes that cannot reach the log.
   std::vector<std::string> cut_from_log;
   std::uint64_t log_reads = 0;
   std::uint64_t messages = 0;
-  // Broken promises, as text; empty when all is well.
+  // Descriptions of violated invariants; empty when all hold.
   std::vector<std::string> violations;
   // Called for each change that one node sees in another.
   std::function<void(const Node&, const Member&)> on_change;
-  // Called when a version comes into force somewhere.
+  // Called when a version comes into force on a node.
   std::function<void(const Node&, ConfigVersion)> on_applied;
 
   std::size_t Add(const std::string& data_center) {
@@ -100,7 +101,7 @@
     return index;
   }
 
-  // Starts or restarts a VM: it comes back empty.
+  // Starts or restarts a VM without any state.
   void Start(std::size_t index, Duration clock_back = Duration::zero()) {
     Node& node = *this->nodes[index];
     node.up = true;
@@ -177,7 +178,7 @@
     return nullptr;
   }
 
-  // Share of the running nodes of which `holds` is true.
+  // Fraction of the running nodes for which `matches` is true.
   [[nodiscard]] double FractionOf(
       const std::function<bool(const Node&)>& matches) const {
     double up = 0;
@@ -189,7 +190,7 @@
     return up == 0 ? 1 : matching / up;
   }
 
-  // Share of running nodes that hold at least `version`.
+  // Fraction of running nodes that hold at least `version`.
   [[nodiscard]] double FractionHolding(ConfigVersion version) const {
     return this->FractionOf(
         [version](const Node& node) { return node.spread.held >= version; });
@@ -333,7 +334,7 @@
     if (!node.up || !node.paused)
       return;
     node.paused = false;
-    // Timers or unread messages first: both orders happen.
+    // Timers or unread messages may come first.
     if (this->RandomEvent(0.5))
       this->Wake(index);
     for (const Message& message : std::exchange(node.inbox, {}))
@@ -431,7 +432,8 @@
             std::string(this->settings.delta_bytes, 'd')};
   }
 
-  // Stands for the config module: checks the chain and swaps the whole.
+  // Replaces the config module: checks the chain of parents and applies all
+  // updates in one step.
   void Apply(std::size_t index, const std::vector<ConfigUpdate>& updates) {
     Node& node = *this->nodes[index];
     ConfigVersion at = node.spread.held;
--- a/tests/unit/order_readers_test.cc
+++ b/tests/unit/order_readers_test.cc
@@ -9,8 +9,8 @@
 namespace teaselspread {
 namespace {
 
-// Nodes with these names see each other; a node whose name is in `lost` told
-// that it lost the store. How many of the others read?
+// Number of readers among the nodes `names`, which all have links to each
+// other, without those in `cut_off`, which reported that they lost the store.
 int CountReaders(const std::vector<std::string>& names,
                  const std::vector<std::string>& cut_off) {
   const auto is_lost = [&](const std::string& name) {
@@ -34,22 +34,22 @@
   cr_assert_eq(CountReaders({"a"}, {}), 1);
 }
 
-// The nodes that read are cut off from the store, and say so. Unless others
-// take their place the whole data centre goes on with an old configuration.
+// The readers are cut off from the store, and report it. Unless others take
+// their place the whole data centre keeps an old configuration.
 Test(order_readers, others_take_the_place_of_those_without_a_store) {
   cr_assert_eq(CountReaders({"a", "b", "c", "d"}, {"a"}), 2);
   cr_assert_eq(CountReaders({"a", "b", "c", "d"}, {"a", "b"}), 2);
   cr_assert_eq(CountReaders({"a", "b", "c", "d"}, {"a", "b", "c"}), 1);
 }
 
-// With the store away from everybody somebody has to notice its return.
+// When no node reaches the store, some node has to detect its recovery.
 Test(order_readers, one_that_lost_the_store_goes_on_trying) {
   cr_assert(RoleOf({"a"}, std::vector<ReaderPeer>{{"b", true}, {"c", true}}) ==
             ReaderRole::kFirst);
 }
 
 // Guards against a data centre that gets its configuration late since the first
-// by name has a narrow line: it reads every change whole and hands it on.
+// by name has little bandwidth: it reads every change whole and forwards it.
 Test(order_readers, the_nodes_with_the_most_bandwidth_read) {
   const std::vector<ReaderPeer> peers = {
       {"b", false, 10}, {"c", false, 200}, {"d", false, 200}, {"e", false, 0}};
@@ -60,7 +60,7 @@
   cr_assert(RoleOf({"a", false, 0}, peers) == ReaderRole::kNonReader);
 }
 
-// With the wide ones cut off from the store a narrow one has to read.
+// With the others cut off from the store a node with low bandwidth has to read.
 Test(order_readers, a_node_with_low_bandwidth_reads_if_no_other_can) {
   const std::vector<ReaderPeer> peers = {
       {"b", false, 10}, {"c", true, 200}, {"d", true, 200}};
--- a/tests/unit/spread_test.cc
+++ b/tests/unit/spread_test.cc
@@ -37,7 +37,7 @@
   }
 }
 
-// One disturbance of a running network, chosen at random.
+// Injects one random fault or publishes a change.
 void InjectFault(Network& net) {
   const std::size_t target = net.rng() % net.nodes.size();
   Node& node = *net.nodes[target];
@@ -75,10 +75,10 @@
   }
 }
 
-// Processes die and come back empty, the log is out, cuts come and go, and
-// updates arrive late, twice and crossed. A VM that returned to an older
-// configuration would send requests to upstreams that were taken out of use;
-// one that stayed behind after the trouble would do so for good.
+// Processes die and restart empty, the log is unavailable, partitions come and
+// go, and updates arrive late, twice and out of order. Guards against a VM that
+// returns to an older configuration, and so sends requests to upstreams that
+// were taken out of use, and against one that stays behind for good.
 Test(spread, no_vm_goes_back_and_all_converge_over_many_seeds) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     Network net({.loss = 0.1, .duplication = 0.1, .jitter = milliseconds(40)},
@@ -106,9 +106,9 @@
   }
 }
 
-// A VM restarts while the log is out, and the first peers that it reaches were
-// cut off and lag behind what it held. Taking what they have would put it back
-// to a configuration that is no longer in force.
+// A VM restarts while the log is unavailable, and the first peers that it
+// reaches were partitioned and lag behind what it held. Guards against a VM
+// that takes their configuration, which is no longer in force.
 Test(spread, a_lagging_first_contact_does_not_take_a_vm_back) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Network net({}, seed);
@@ -116,7 +116,7 @@
     net.Publish();
     net.StartAll();
     net.Run(seconds(8));
-    // Two of the seeds are cut off and miss a change.
+    // Two of the seeds are partitioned and miss a change.
     net.nodes[0]->partition = 1;
     net.nodes[1]->partition = 1;
     const ConfigVersion newer = net.Publish();
@@ -125,7 +125,7 @@
     net.log_up = false;
     net.Kill(6);
     net.Run(seconds(2));
-    // It returns on the lagging side.
+    // It restarts in the lagging partition.
     net.nodes[6]->partition = 1;
     net.Start(6);
     net.Run(seconds(30));
@@ -140,8 +140,9 @@
   }
 }
 
-// The log is out and one VM restarts. Without its witnesses it could not know
-// that it is not behind, and would stay out of service as long as the log.
+// One VM restarts while the log is unavailable. Without its witnesses it could
+// not know that it is not behind, and would stay out of service as long as the
+// log.
 Test(spread, a_restart_during_a_log_outage_is_ready_by_its_witnesses) {
   Network net({.loss = 0.05}, 2);
   AddNodes(net, "bole", 12);
@@ -156,7 +157,7 @@
   cr_assert(net.nodes[4]->spread.held == version);
 }
 
-// A data centre loses the platform's log, but still hears the others.
+// A data centre loses the platform's log, but still reaches the others.
 Test(spread, a_data_center_cut_from_the_log_is_served_by_the_others) {
   Network net({.loss = 0.05}, 3);
   AddNodes(net, "bole", 10);
@@ -174,7 +175,7 @@
 }
 
 // Both readers of a data centre die at once. Until others take their place the
-// data centre hears of no change, although the log works.
+// data centre receives no change, although the log works.
 Test(spread, readers_that_die_together_are_replaced_within_seconds) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Network net({.loss = 0.02}, seed);
@@ -193,8 +194,8 @@
   }
 }
 
-// Both readers live on, but their own way to the log is broken. The failure
-// detector has nothing to say against them, and no change would arrive.
+// Both readers stay alive, but lose their connection to the log. The failure
+// detector does not report them, and without standbys no change would arrive.
 Test(spread, standbys_replace_readers_that_lose_the_log) {
   Network net({}, 5);
   AddNodes(net, "bole", 20);
@@ -211,8 +212,8 @@
   cr_assert(net.FractionHolding(next) == 1.0);
 }
 
-// A fifth of the nodes dies just before a change. Each dead node in the tree
-// would cost its whole branch the change until the next repair.
+// A fifth of the nodes dies just before a change. Below each dead node in the
+// tree a whole branch would miss the change until the next repair.
 Test(spread, a_change_goes_around_dead_nodes_of_the_tree) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Network net({}, seed);
@@ -237,7 +238,7 @@
   double seconds_to_ready = 0;
 };
 
-// All nodes die at once and come back at once, with nothing.
+// All nodes die at once and restart at once, without any state.
 HerdResult RunHerd(std::size_t count, std::uint64_t seed) {
   Network net(
       {.loss = 0.02, .snapshot_bytes = 200000, .encode_messages = false}, seed);
@@ -272,9 +273,9 @@
   return result;
 }
 
-// A rack or a whole data centre comes back from a power cut. If each node read
-// the log, or all asked the same peer, the log or that peer would fall over
-// again, and the data centre with it.
+// A rack or a whole data centre restarts after a power failure. If each node
+// read the log, or all pulled from the same peer, the log or that peer would
+// fail under the load, and the data centre with it.
 Test(spread, a_returning_herd_loads_the_log_and_each_peer_within_bounds) {
   for (const std::size_t count : {10U, 40U, 160U, 800U}) {
     const HerdResult herd = RunHerd(count, 7);
@@ -292,7 +293,7 @@
   }
 }
 
-// A transfer is asked of a node that already serves as many as it may.
+// A transfer is requested from a node that already serves its maximum.
 Test(spread, a_busy_node_returns_a_retry_delay) {
   Rng rng(1);
   Member self;
@@ -316,9 +317,9 @@
   cr_assert(std::holds_alternative<PullReply>(later.sends.at(0).message));
 }
 
-// A snapshot needs seconds over a narrow line. The node waits while its bytes
-// come: asked of another peer each second, all copies would come later. When
-// they stop coming it asks another.
+// A snapshot takes seconds over a slow connection. The node waits while its
+// bytes arrive: requested from another peer each second, all copies would be
+// delayed. When no more bytes arrive it asks another peer.
 Test(spread, a_pull_is_not_resent_while_its_response_arrives) {
   Rng rng(1);
   Member self;
@@ -349,8 +350,8 @@
   cr_assert(asked >= 2);
 }
 
-// Deltas arrive that do not fit what the node holds. They must not be tried
-// again and again: the node asks for a whole snapshot instead.
+// Deltas arrive that do not apply to what the node holds. They must not be
+// retried forever: the node requests a whole snapshot instead.
 Test(spread, updates_that_do_not_apply_are_replaced_by_a_snapshot) {
   Rng rng(1);
   Member self;
