--- a/src/edge/config_exchange.cc
+++ b/src/edge/config_exchange.cc
@@ -46,7 +46,7 @@
   // A reader that reaches the store gets the change there within its interval
   // between reads.
   const bool is_reader =
-      node.orders.Role() != ReaderRole::kTold && node.orders.InTouch();
+      node.orders.Role() != ReaderRole::kNonReader && node.orders.InTouch();
   const auto peer = NextToQuery(exchange.fetch, HoldersOf(node), held,
                                 is_reader, SteadyNow(), node.rng);
   if (!peer)
--- a/tests/unit/order_readers_test.cc
+++ b/tests/unit/order_readers_test.cc
@@ -9,12 +9,12 @@
 namespace teaselspread {
 namespace {
 
-// Nodes with these names see each other; a node whose name is in `lost` told
-// that it lost the store. How many of the others read?
+// Number of readers among the nodes `names`, which all have links to each
+// other, without those in `cut_off`, which reported that they lost the store.
 int CountReaders(const std::vector<std::string>& names,
-                 const std::vector<std::string>& lost) {
+                 const std::vector<std::string>& cut_off) {
   const auto is_lost = [&](const std::string& name) {
-    return std::find(lost.begin(), lost.end(), name) != lost.end();
+    return std::find(cut_off.begin(), cut_off.end(), name) != cut_off.end();
   };
   int readers = 0;
   for (const std::string& self : names) {
@@ -23,7 +23,7 @@
       if (name != self)
         peers.push_back({name, is_lost(name)});
     }
-    const bool reads = RoleOf({self}, peers) != ReaderRole::kTold;
+    const bool reads = RoleOf({self}, peers) != ReaderRole::kNonReader;
     readers += reads && !is_lost(self) ? 1 : 0;
   }
   return readers;
@@ -34,34 +34,34 @@
   cr_assert_eq(CountReaders({"a"}, {}), 1);
 }
 
-// The nodes that read are cut off from the store, and say so. Unless others
-// take their place the whole data centre goes on with an old configuration.
+// The readers are cut off from the store, and report it. Unless others take
+// their place the whole data centre keeps an old configuration.
 Test(order_readers, others_take_the_place_of_those_without_a_store) {
   cr_assert_eq(CountReaders({"a", "b", "c", "d"}, {"a"}), 2);
   cr_assert_eq(CountReaders({"a", "b", "c", "d"}, {"a", "b"}), 2);
   cr_assert_eq(CountReaders({"a", "b", "c", "d"}, {"a", "b", "c"}), 1);
 }
 
-// With the store away from everybody somebody has to notice its return.
+// When no node reaches the store, some node has to detect its recovery.
 Test(order_readers, one_that_lost_the_store_goes_on_trying) {
   cr_assert(RoleOf({"a"}, std::vector<ReaderPeer>{{"b", true}, {"c", true}}) ==
             ReaderRole::kFirst);
 }
 
 // Guards against a data centre that gets its configuration late since the first
-// by name has a narrow line: it reads every change whole and hands it on.
-Test(order_readers, those_with_wide_lines_read) {
+// by name has little bandwidth: it reads every change whole and forwards it.
+Test(order_readers, the_nodes_with_the_most_bandwidth_read) {
   const std::vector<ReaderPeer> peers = {
       {"b", false, 10}, {"c", false, 200}, {"d", false, 200}, {"e", false, 0}};
-  cr_assert(RoleOf({"a", false, 10}, peers) == ReaderRole::kTold);
+  cr_assert(RoleOf({"a", false, 10}, peers) == ReaderRole::kNonReader);
   cr_assert(RoleOf({"a", false, 200}, peers) == ReaderRole::kFirst);
   cr_assert(RoleOf({"f", false, 1000}, peers) == ReaderRole::kFirst);
   cr_assert(RoleOf({"cc", false, 200}, peers) == ReaderRole::kSecond);
-  cr_assert(RoleOf({"a", false, 0}, peers) == ReaderRole::kTold);
+  cr_assert(RoleOf({"a", false, 0}, peers) == ReaderRole::kNonReader);
 }
 
-// With the wide ones cut off from the store a narrow one has to read.
-Test(order_readers, a_narrow_line_is_better_than_none) {
+// With the others cut off from the store a node with low bandwidth has to read.
+Test(order_readers, a_node_with_low_bandwidth_reads_if_no_other_can) {
   const std::vector<ReaderPeer> peers = {
       {"b", false, 10}, {"c", true, 200}, {"d", true, 200}};
   cr_assert(RoleOf({"a", false, 10}, peers) == ReaderRole::kFirst);
