--- a/benchmark/capacity_members.h
+++ b/benchmark/capacity_members.h
@@ -232,7 +232,7 @@
     double sum = 0;
     double count = 0;
     for (const auto& node : net->nodes) {
-      for (const auto& [key, rumour] : node->membership.opaque) {
+      for (const auto& [key, rumour] : node->membership.opaque_rumours) {
         sum += kSeconds - double(rumour.version);
         ++count;
       }
--- a/include/teaselspread/membership.h
+++ b/include/teaselspread/membership.h
@@ -45,7 +45,7 @@
 
 struct MembershipSettings {
   // One probe is sent per period.
-  Duration period = std::chrono::seconds(1);
+  Duration protocol_period = std::chrono::seconds(1);
   // Wait for a direct answer before others are asked to try.
   Duration probe_timeout = std::chrono::milliseconds(300);
   std::size_t indirect_probes = 3;
@@ -73,10 +73,10 @@
   Duration pause_threshold = std::chrono::milliseconds(700);
   // Longest time without accusations after a pause; ends early once the state
   // of another member has been merged.
-  Duration doubt_time = std::chrono::seconds(5);
-  int max_awareness = 8;
+  Duration max_resync_time = std::chrono::seconds(5);
+  int max_health_score = 8;
   // Opaque rumours kept at a time; new ones above that are dropped.
-  std::size_t max_opaque = 4096;
+  std::size_t max_opaque_rumours = 4096;
   // Dead members keep their held version this long.
   Duration forget_after = std::chrono::hours(24);
 };
@@ -84,12 +84,12 @@
 struct MemberEntry {
   Member member;
   // When `status` last changed, on this node's clock.
-  TimePoint since;
+  TimePoint status_since;
   // While suspect: who accuses and when the suspicion becomes a death.
   std::set<std::string> accusers;
   TimePoint suspect_deadline;
   // Has a place in the probing order, perhaps from before it died.
-  bool in_order = false;
+  bool in_probe_order = false;
 };
 
 struct QueuedRumour {
@@ -97,7 +97,7 @@
   std::size_t bytes = 0;
   std::size_t transmits = 0;
   // Lower goes first: members, then verdicts and suspects, then figures.
-  std::uint8_t urgency = 0;
+  std::uint8_t priority = 0;
 };
 
 // The direct or indirect probe that runs in the current period.
@@ -105,7 +105,7 @@
   std::string target;
   std::uint64_t incarnation = 0;
   std::uint32_t sequence = 0;
-  TimePoint sent;
+  TimePoint sent_at;
   TimePoint indirect_at;
   TimePoint deadline;
   bool indirect_sent = false;
@@ -127,7 +127,7 @@
   kSuspected,
   kRefuted,
   kDeclaredDead,
-  kPauseNoticed,
+  kPauseDetected,
   kRumourDropped,
   kWrongDataCenter,
   kWrongTarget,
@@ -145,36 +145,36 @@
   // Others only, by id.
   std::map<std::string, MemberEntry> members;
   // How many of them are alive or suspect.
-  std::size_t live = 0;
-  std::map<std::pair<Topic, std::string>, OpaqueRumour> opaque;
+  std::size_t live_count = 0;
+  std::map<std::pair<Topic, std::string>, OpaqueRumour> opaque_rumours;
   // Rumours still to be sent, by what they are about.
-  std::map<std::string, QueuedRumour> queue;
+  std::map<std::string, QueuedRumour> rumour_queue;
   double rumour_tokens = 0;
-  TimePoint tokens_at;
+  TimePoint tokens_refilled_at;
   // Live ids in probing order; each round visits each once.
-  std::vector<std::string> order;
-  std::size_t next_in_order = 0;
+  std::vector<std::string> probe_order;
+  std::size_t next_probe_index = 0;
   std::uint32_t next_sequence = 1;
   std::optional<Probe> probe;
   std::map<std::uint32_t, RelayedProbe> relays;
   // 0 is healthy; each step widens this node's own timeouts.
-  int awareness = 0;
+  int health_score = 0;
   bool joined = false;
   bool leaving = false;
   // When `held` was known to be the log's newest version.
   TimePoint fresh_as_of;
   // Latest time seen: time never goes back inside.
-  TimePoint latest;
+  TimePoint latest_time;
   TimePoint next_probe;
   TimePoint next_gossip;
   TimePoint next_exchange;
   TimePoint next_reconnect;
   // Suspicions that are over and gone members to forget are looked for here.
   TimePoint next_sweep;
-  Duration exchange_wait{};
+  Duration current_exchange_interval{};
   TimePoint expected_wake;
   // No accusation is made before this time (after a pause).
-  TimePoint doubt_until;
+  TimePoint resync_until;
   std::array<std::uint64_t, static_cast<std::size_t>(MembershipCount::kCount)>
       counts{};
 };
@@ -230,7 +230,9 @@
     Rng& rng);
 
 // The version that this node now holds, carried on every message from now on.
-void SetHeld(Membership& state, ConfigVersion held, TimePoint fresh_as_of);
+void SetHeldVersion(Membership& state,
+                    ConfigVersion held,
+                    TimePoint fresh_as_of);
 
 // Announces a planned stop. Others take the node for gone at once; it may go on
 // answering while it drains.
@@ -247,7 +249,7 @@
 
 // True after a pause until the state of another member has been merged: do not
 // vouch for anything and do not judge others meanwhile.
-[[nodiscard]] bool InDoubt(const Membership& state, TimePoint now);
+[[nodiscard]] bool IsResyncing(const Membership& state, TimePoint now);
 
 // Others that are alive or suspect.
 [[nodiscard]] std::vector<Member> LiveMembers(const Membership& state);
--- a/src/membership/base.cc
+++ b/src/membership/base.cc
@@ -9,8 +9,9 @@
 namespace teaselspread {
 namespace {
 
-constexpr auto kCounts = static_cast<std::size_t>(MembershipCount::kCount);
-constexpr std::array<std::string_view, kCounts> kCountNames = {
+constexpr auto kCounterCount =
+    static_cast<std::size_t>(MembershipCount::kCount);
+constexpr std::array<std::string_view, kCounterCount> kCounterNames = {
     "probe-failed",      "suspected",     "refuted",
     "declared-dead",     "pause-noticed", "rumour-dropped",
     "wrong-data-center", "wrong-target",  "budget-deferred"};
@@ -18,7 +19,7 @@
 }  // namespace
 
 std::string_view NameOf(MembershipCount reason) {
-  return kCountNames.at(static_cast<std::size_t>(reason));
+  return kCounterNames.at(static_cast<std::size_t>(reason));
 }
 
 Sender SenderOf(const Membership& state, TimePoint now) {
@@ -34,7 +35,7 @@
 }
 
 std::size_t CountLive(const Membership& state) {
-  return state.live;
+  return state.live_count;
 }
 
 std::vector<Member> LiveMembers(const Membership& state) {
@@ -71,20 +72,21 @@
       std::uniform_int_distribution<Duration::rep>(0, limit.count())(rng)};
 }
 
-std::vector<const MemberEntry*> PickLive(const Membership& state,
-                                         std::size_t count,
-                                         const std::string& except,
-                                         Rng& rng) {
+std::vector<const MemberEntry*> PickLiveMembers(const Membership& state,
+                                                std::size_t count,
+                                                const std::string& excluded,
+                                                Rng& rng) {
   std::vector<const MemberEntry*> picked;
-  if (state.order.empty())
+  if (state.probe_order.empty())
     return picked;
-  std::uniform_int_distribution<std::size_t> any(0, state.order.size() - 1);
+  std::uniform_int_distribution<std::size_t> random_index(
+      0, state.probe_order.size() - 1);
   // Dead ids stay in the order until the next round: try a few more times.
-  const std::size_t tries = 4 * count + state.order.size() % 16;
+  const std::size_t tries = 4 * count + state.probe_order.size() % 16;
   for (std::size_t i = 0; i < tries && picked.size() < count; ++i) {
-    const auto found = state.members.find(state.order[any(rng)]);
+    const auto found = state.members.find(state.probe_order[random_index(rng)]);
     if (found == state.members.end() || !IsLive(found->second) ||
-        found->first == except)
+        found->first == excluded)
       continue;
     const MemberEntry* entry = &found->second;
     if (std::find(picked.begin(), picked.end(), entry) == picked.end())
@@ -93,7 +95,7 @@
   return picked;
 }
 
-void Send(Call& call, const Address& to, Message message) {
+void Send(CallContext& call, const Address& to, Message message) {
   call.actions.sends.push_back({to, Transport::kDatagram, std::move(message)});
 }
 
@@ -113,7 +115,7 @@
 
 }  // namespace
 
-void SendExchange(Call& call,
+void SendExchange(CallContext& call,
                   const Address& to,
                   bool reply_wanted,
                   std::uint64_t buckets) {
@@ -126,7 +128,7 @@
     if (InBuckets(buckets, id))
       exchange.members.push_back(entry.member);
   }
-  for (const auto& [key, rumour] : call.state.opaque) {
+  for (const auto& [key, rumour] : call.state.opaque_rumours) {
     if (InBuckets(buckets, rumour.key))
       exchange.rumours.push_back(rumour);
   }
@@ -145,17 +147,17 @@
     if (IsLive(entry))
       add(id, entry.member.incarnation);
   }
-  for (const auto& [key, rumour] : state.opaque)
+  for (const auto& [key, rumour] : state.opaque_rumours)
     add(rumour.key, rumour.version);
   return digests;
 }
 
-void CompareSoon(Membership& state, TimePoint now) {
-  state.exchange_wait = state.settings.first_exchange_interval;
-  state.next_exchange = now + state.exchange_wait;
+void ScheduleEarlyComparison(Membership& state, TimePoint now) {
+  state.current_exchange_interval = state.settings.first_exchange_interval;
+  state.next_exchange = now + state.current_exchange_interval;
 }
 
-void SendDigest(Call& call, const Address& to, bool reply_wanted) {
+void SendDigest(CallContext& call, const Address& to, bool reply_wanted) {
   Send(call, to,
        StateDigest{SenderOf(call.state, call.now), reply_wanted,
                    DigestsOf(call.state)});
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -10,30 +10,31 @@
 namespace teaselspread {
 namespace {
 
-using membership::Call;
+using membership::CallContext;
 
 // After a pause the timers say that members are silent, while their answers
 // wait unread in the socket. Acting on the timers would have healthy members
 // declared dead (seen as a burst of refutations after each long pause). So
 // probes are dropped, suspicions get the lost time back, and nothing is said of
 // others until one of them has been heard.
-void NotePause(Call& call, Duration lateness) {
+void HandlePause(CallContext& call, Duration lateness) {
   Membership& state = call.state;
-  membership::Count(state, MembershipCount::kPauseNoticed);
-  membership::Degrade(state);
+  membership::Count(state, MembershipCount::kPauseDetected);
+  membership::WorsenHealthScore(state);
   state.probe.reset();
   state.relays.clear();
-  state.queue.clear();
+  state.rumour_queue.clear();
   for (auto& [id, entry] : state.members) {
     if (entry.member.status == MemberStatus::kSuspect)
       entry.suspect_deadline += lateness;
   }
-  state.next_probe = call.now + state.settings.period;
-  membership::CompareSoon(state, call.now);
-  const auto peers = membership::PickLive(state, 2, state.self.id, call.rng);
+  state.next_probe = call.now + state.settings.protocol_period;
+  membership::ScheduleEarlyComparison(state, call.now);
+  const auto peers =
+      membership::PickLiveMembers(state, 2, state.self.id, call.rng);
   if (peers.empty())
     return;
-  state.doubt_until = call.now + state.settings.doubt_time;
+  state.resync_until = call.now + state.settings.max_resync_time;
   // Others may hold an accusation by now: answer it before it is heard.
   if (!state.leaving)
     membership::Refute(call, state.self.incarnation);
@@ -41,26 +42,26 @@
     membership::SendDigest(call, peer->member.control, true);
 }
 
-void Begin(Call& call) {
+void BeginCall(CallContext& call) {
   Membership& state = call.state;
-  call.now = std::max(call.now, state.latest);
-  state.latest = call.now;
+  call.now = std::max(call.now, state.latest_time);
+  state.latest_time = call.now;
   const Duration lateness = call.now - state.expected_wake;
   if (lateness > state.settings.pause_threshold)
-    NotePause(call, lateness);
+    HandlePause(call, lateness);
 }
 
-MembershipActions Finish(Call& call) {
+MembershipActions FinishCall(CallContext& call) {
   call.state.expected_wake = std::max(call.now, NextWake(call.state));
   return std::move(call.actions);
 }
 
-void ExchangeWithSeeds(Call& call) {
+void ExchangeWithSeeds(CallContext& call) {
   std::vector<Address> seeds = call.state.seeds;
   std::erase(seeds, call.state.self.control);
   std::shuffle(seeds.begin(), seeds.end(), call.rng);
-  constexpr std::size_t kAtOnce = 2;
-  seeds.resize(std::min(seeds.size(), kAtOnce));
+  constexpr std::size_t kMaxSeeds = 2;
+  seeds.resize(std::min(seeds.size(), kMaxSeeds));
   for (const Address& seed : seeds)
     membership::SendExchange(call, seed, true, kAllBuckets);
 }
@@ -68,7 +69,7 @@
 // A member taken for dead is not probed, so two halves of a healed cut would
 // never speak again. One of the dead is pinged now and then with the accusation
 // in front, which it can refute.
-void PingOneDead(Call& call) {
+void PingDeadMember(CallContext& call) {
   std::vector<const MemberEntry*> dead;
   for (const auto& [id, entry] : call.state.members) {
     if (entry.member.status == MemberStatus::kDead)
@@ -76,15 +77,15 @@
   }
   if (dead.empty())
     return;
-  std::uniform_int_distribution<std::size_t> any(0, dead.size() - 1);
-  const Member& target = dead[any(call.rng)]->member;
+  std::uniform_int_distribution<std::size_t> random_index(0, dead.size() - 1);
+  const Member& target = dead[random_index(call.rng)]->member;
   membership::Send(
       call, target.control,
       Ping{SenderOf(call.state, call.now), call.state.next_sequence++,
            target.id, membership::TakeRumours(call, target.id)});
 }
 
-void TickReconnect(Call& call) {
+void TickReconnect(CallContext& call) {
   Membership& state = call.state;
   if (call.now < state.next_reconnect)
     return;
@@ -93,24 +94,24 @@
       call.now + interval / 2 + membership::RandomUpTo(interval, call.rng);
   if (!state.joined || CountLive(state) == 0)
     ExchangeWithSeeds(call);
-  PingOneDead(call);
+  PingDeadMember(call);
 }
 
-void TickExchange(Call& call) {
+void TickExchange(CallContext& call) {
   Membership& state = call.state;
   if (call.now < state.next_exchange)
     return;
-  const Duration interval = state.exchange_wait;
-  state.exchange_wait =
+  const Duration interval = state.current_exchange_interval;
+  state.current_exchange_interval =
       std::min(2 * interval, state.settings.exchange_interval);
   state.next_exchange =
       call.now + interval / 2 + membership::RandomUpTo(interval, call.rng);
   for (const MemberEntry* peer :
-       membership::PickLive(state, 1, state.self.id, call.rng))
+       membership::PickLiveMembers(state, 1, state.self.id, call.rng))
     membership::SendDigest(call, peer->member.control, false);
 }
 
-void ObserveSender(Call& call, const Sender& from) {
+void ObserveSender(CallContext& call, const Sender& from) {
   if (from.id == call.state.self.id)
     return;
   if (const auto found = call.state.members.find(from.id);
@@ -123,24 +124,24 @@
       {from.id, from.incarnation, from.control, from.held, TimePoint{}});
 }
 
-void Merge(Call& call, const StateExchange& exchange) {
+void MergeExchange(CallContext& call, const StateExchange& exchange) {
   Membership& state = call.state;
   for (const Member& member : exchange.members) {
-    const bool own = member.id == exchange.from.id;
-    membership::ApplyMember(
-        call, member,
-        own ? membership::Source::kOwnEntry : membership::Source::kExchange);
+    const bool is_own_entry = member.id == exchange.from.id;
+    membership::ApplyMember(call, member,
+                            is_own_entry ? membership::UpdateSource::kOwnEntry
+                                         : membership::UpdateSource::kExchange);
   }
   for (const OpaqueRumour& rumour : exchange.rumours)
     membership::ApplyOpaque(call, rumour);
   state.joined = true;
-  state.doubt_until = TimePoint{};
+  state.resync_until = TimePoint{};
   if (exchange.reply_wanted)
     membership::SendExchange(call, exchange.from.control, false,
                              exchange.buckets);
 }
 
-void Compare(Call& call, const StateDigest& digest) {
+void CompareDigest(CallContext& call, const StateDigest& digest) {
   const std::vector<std::uint32_t> own = membership::DigestsOf(call.state);
   std::uint64_t differing = 0;
   for (std::size_t i = 0; i < kStateBuckets; ++i) {
@@ -151,13 +152,13 @@
     membership::SendExchange(call, digest.from.control, true, differing);
     return;
   }
-  call.state.doubt_until = TimePoint{};
+  call.state.resync_until = TimePoint{};
   if (digest.reply_wanted)
     membership::SendDigest(call, digest.from.control, false);
 }
 
-struct Dispatch {
-  Call& call;
+struct MessageVisitor {
+  CallContext& call;
 
   void operator()(const Ping& message) const {
     membership::ApplyRumours(this->call, message.rumours);
@@ -178,10 +179,10 @@
     membership::ApplyRumours(this->call, message.rumours);
   }
   void operator()(const StateExchange& message) const {
-    Merge(this->call, message);
+    MergeExchange(this->call, message);
   }
   void operator()(const StateDigest& message) const {
-    Compare(this->call, message);
+    CompareDigest(this->call, message);
   }
   // Kinds of the spread module.
   template <class Other>
@@ -200,11 +201,11 @@
   state.self.status = MemberStatus::kAlive;
   state.seeds = std::move(seeds);
   state.rumour_tokens = static_cast<double>(settings.rumour_burst_bytes);
-  state.tokens_at = now;
-  state.latest = now;
+  state.tokens_refilled_at = now;
+  state.latest_time = now;
   state.next_probe = now;
   state.next_gossip = TimePoint::max();
-  membership::CompareSoon(state, now);
+  membership::ScheduleEarlyComparison(state, now);
   state.next_reconnect = now;
   state.expected_wake = now;
   return state;
@@ -224,50 +225,52 @@
 }
 
 MembershipActions TickMembership(Membership& state, TimePoint now, Rng& rng) {
-  Call call{state, now, rng, {}};
-  Begin(call);
+  CallContext call{state, now, rng, {}};
+  BeginCall(call);
   membership::TickSuspicions(call);
   membership::TickProbe(call);
   membership::TickGossip(call);
   TickReconnect(call);
   TickExchange(call);
-  return Finish(call);
+  return FinishCall(call);
 }
 
 MembershipActions ReceiveMembership(Membership& state,
                                     const Message& message,
                                     TimePoint now,
                                     Rng& rng) {
-  Call call{state, now, rng, {}};
-  Begin(call);
+  CallContext call{state, now, rng, {}};
+  BeginCall(call);
   ObserveSender(call, SenderOf(message));
-  std::visit(Dispatch{call}, message);
-  return Finish(call);
+  std::visit(MessageVisitor{call}, message);
+  return FinishCall(call);
 }
 
 MembershipActions SetAnnouncement(Membership& state,
                                   const Announcement& announcement,
                                   TimePoint now,
                                   Rng& rng) {
-  Call call{state, now, rng, {}};
-  Begin(call);
+  CallContext call{state, now, rng, {}};
+  BeginCall(call);
   if (state.self.upstream != announcement) {
     state.self.upstream = announcement;
     ++state.self.incarnation;
     membership::QueueSelf(call);
     membership::GossipNow(call, state.settings.gossip_fan_out);
   }
-  return Finish(call);
+  return FinishCall(call);
 }
 
-void SetHeld(Membership& state, ConfigVersion held, TimePoint fresh_as_of) {
+void SetHeldVersion(Membership& state,
+                    ConfigVersion held,
+                    TimePoint fresh_as_of) {
   state.self.held = std::max(state.self.held, held);
   state.fresh_as_of = std::max(state.fresh_as_of, fresh_as_of);
 }
 
 MembershipActions Leave(Membership& state, TimePoint now, Rng& rng) {
-  Call call{state, now, rng, {}};
-  Begin(call);
+  CallContext call{state, now, rng, {}};
+  BeginCall(call);
   state.leaving = true;
   state.self.status = MemberStatus::kLeft;
   ++state.self.incarnation;
@@ -277,7 +280,7 @@
   // The process may end soon: several rounds' worth of rumours go out now.
   constexpr std::size_t kRounds = 3;
   membership::GossipNow(call, kRounds * state.settings.gossip_fan_out);
-  return Finish(call);
+  return FinishCall(call);
 }
 
 Result<MembershipActions> Spread(Membership& state,
@@ -290,16 +293,16 @@
         ErrorKind::kBodyTooLarge,
         absl::StrCat("rumour of ", bytes, " bytes, at most ", kMaxOpaqueBytes));
   }
-  Call call{state, now, rng, {}};
-  Begin(call);
+  CallContext call{state, now, rng, {}};
+  BeginCall(call);
   membership::ApplyOpaque(call, rumour);
   call.actions.rumours.clear();
   membership::GossipNow(call, state.settings.gossip_fan_out);
-  return Finish(call);
+  return FinishCall(call);
 }
 
-bool InDoubt(const Membership& state, TimePoint now) {
-  return now < state.doubt_until;
+bool IsResyncing(const Membership& state, TimePoint now) {
+  return now < state.resync_until;
 }
 
 }  // namespace teaselspread
--- a/src/membership/merge.cc
+++ b/src/membership/merge.cc
@@ -10,104 +10,111 @@
 // Without suspects there is only the rare entry to forget.
 constexpr Duration kSweepInterval = std::chrono::seconds(5);
 
-void SweepBy(Membership& state, TimePoint deadline) {
+void ScheduleSweep(Membership& state, TimePoint deadline) {
   state.next_sweep = std::min(state.next_sweep, deadline);
 }
 
 // Between a suspicion's longest and shortest time, by how many agree: one
 // accuser may itself be the faulty one.
-Duration SuspicionTime(const Membership& state, std::size_t accusers) {
+Duration SuspicionTimeout(const Membership& state, std::size_t accusers) {
   const MembershipSettings& settings = state.settings;
   const std::size_t live = CountLive(state);
   const auto members = static_cast<double>(live + 1);
-  const double shortest =
+  const double min_periods =
       settings.suspicion_factor * std::max(1.0, std::log10(members));
-  const double longest = shortest * settings.suspicion_max_factor;
+  const double max_periods = min_periods * settings.suspicion_max_factor;
   // Others that could confirm: neither the accuser nor the accused.
-  const std::size_t able = live > 1 ? live - 1 : 0;
-  const auto wanted =
-      static_cast<double>(std::min(settings.confirmations, able));
-  double periods = shortest;
-  if (wanted >= 1) {
-    const auto confirmed = static_cast<double>(accusers - 1);
-    const double share = std::log(confirmed + 1) / std::log(wanted + 1);
-    periods = std::max(shortest, longest - share * (longest - shortest));
+  const std::size_t possible_confirmers = live > 1 ? live - 1 : 0;
+  const auto wanted_confirmations = static_cast<double>(
+      std::min(settings.confirmations, possible_confirmers));
+  double periods = min_periods;
+  if (wanted_confirmations >= 1) {
+    const auto confirmations = static_cast<double>(accusers - 1);
+    const double progress =
+        std::log(confirmations + 1) / std::log(wanted_confirmations + 1);
+    periods = std::max(min_periods,
+                       max_periods - progress * (max_periods - min_periods));
   }
-  return std::chrono::duration_cast<Duration>(settings.period * periods);
+  return std::chrono::duration_cast<Duration>(settings.protocol_period *
+                                              periods);
 }
 
-void SetStatus(Call& call, MemberEntry& entry, MemberStatus status) {
+void SetStatus(CallContext& call, MemberEntry& entry, MemberStatus status) {
   if (entry.member.status == status)
     return;
   if (IsLive(entry) &&
       (status == MemberStatus::kDead || status == MemberStatus::kLeft))
-    --call.state.live;
+    --call.state.live_count;
   entry.member.status = status;
-  entry.since = call.now;
+  entry.status_since = call.now;
   entry.accusers.clear();
   call.actions.changes.push_back(entry.member);
 }
 
-void MarkGone(Call& call, MemberEntry& entry, const Accusation& news) {
-  entry.member.incarnation = news.incarnation;
-  SetStatus(call, entry, news.status);
-  QueueRumour(call, news);
+void MarkGone(CallContext& call,
+              MemberEntry& entry,
+              const Accusation& accusation) {
+  entry.member.incarnation = accusation.incarnation;
+  SetStatus(call, entry, accusation.status);
+  QueueRumour(call, accusation);
 }
 
 // An exchange may bring a death that is long refuted elsewhere. Taken as a
 // suspicion it can still be refuted; taken as a death it would bounce between
 // nodes. This node repeats the suspicion as its own.
-void ApplyExchangedStatus(Call& call, const Member& news) {
-  MemberStatus status = news.status;
+void ApplyExchangedStatus(CallContext& call, const Member& update) {
+  MemberStatus status = update.status;
   if (status == MemberStatus::kDead)
     status = MemberStatus::kSuspect;
-  ApplyAccusation(
-      call, Accusation{news.id, news.incarnation, status, call.state.self.id});
+  ApplyAccusation(call, Accusation{update.id, update.incarnation, status,
+                                   call.state.self.id});
 }
 
-void AddMember(Call& call, const Member& news) {
+void AddMember(CallContext& call, const Member& update) {
   MemberEntry entry;
-  entry.member = news;
-  entry.since = call.now;
-  if (news.status == MemberStatus::kSuspect) {
+  entry.member = update;
+  entry.status_since = call.now;
+  if (update.status == MemberStatus::kSuspect) {
     entry.accusers.insert(call.state.self.id);
-    entry.suspect_deadline = call.now + SuspicionTime(call.state, 1);
-    SweepBy(call.state, entry.suspect_deadline);
+    entry.suspect_deadline = call.now + SuspicionTimeout(call.state, 1);
+    ScheduleSweep(call.state, entry.suspect_deadline);
   }
   MemberEntry& added =
-      call.state.members.emplace(news.id, std::move(entry)).first->second;
+      call.state.members.emplace(update.id, std::move(entry)).first->second;
   if (IsLive(added)) {
-    ++call.state.live;
+    ++call.state.live_count;
     AddToOrder(call, added);
   }
-  call.actions.changes.push_back(news);
+  call.actions.changes.push_back(update);
 }
 
-void ReplaceMember(Call& call, MemberEntry& entry, const Member& news) {
+void ReplaceMember(CallContext& call,
+                   MemberEntry& entry,
+                   const Member& update) {
   const bool was_live = IsLive(entry);
   const bool same_start =
-      StartOf(entry.member.incarnation) == StartOf(news.incarnation);
+      StartOf(entry.member.incarnation) == StartOf(update.incarnation);
   const ConfigVersion held = entry.member.held;
   if (entry.member.status != MemberStatus::kAlive)
-    entry.since = call.now;
+    entry.status_since = call.now;
   entry.accusers.clear();
-  entry.member = news;
+  entry.member = update;
   entry.member.status = MemberStatus::kAlive;
   if (same_start)
-    entry.member.held = std::max(held, news.held);
+    entry.member.held = std::max(held, update.held);
   if (!was_live) {
-    ++call.state.live;
+    ++call.state.live_count;
     AddToOrder(call, entry);
     // A cut may have healed: much else may have been missed.
-    CompareSoon(call.state, call.now);
+    ScheduleEarlyComparison(call.state, call.now);
   }
   call.actions.changes.push_back(entry.member);
 }
 
 // Declares the suspect dead when its time is over.
-void TickSuspicion(Call& call, MemberEntry& entry) {
+void TickSuspicion(CallContext& call, MemberEntry& entry) {
   if (entry.suspect_deadline > call.now) {
-    SweepBy(call.state, entry.suspect_deadline);
+    ScheduleSweep(call.state, entry.suspect_deadline);
     return;
   }
   Count(call.state, MembershipCount::kDeclaredDead);
@@ -116,7 +123,9 @@
                       MemberStatus::kDead, call.state.self.id});
 }
 
-void ApplyToSelf(Call& call, std::uint64_t incarnation, MemberStatus status) {
+void ApplyToSelf(CallContext& call,
+                 std::uint64_t incarnation,
+                 MemberStatus status) {
   const Member& self = call.state.self;
   if (status == MemberStatus::kLeft || call.state.leaving)
     return;
@@ -127,44 +136,46 @@
 
 }  // namespace
 
-void Refute(Call& call, std::uint64_t accused) {
+void Refute(CallContext& call, std::uint64_t accused_incarnation) {
   Member& self = call.state.self;
-  if (StartOf(accused) > StartOf(self.incarnation)) {
+  if (StartOf(accused_incarnation) > StartOf(self.incarnation)) {
     // The clock went back over a restart. A mere revision of the known start
     // would let others believe that this node still holds what it held then.
-    self.incarnation = (StartOf(accused) + 1) << kRevisionBits;
+    self.incarnation = (StartOf(accused_incarnation) + 1) << kRevisionBits;
   } else {
-    self.incarnation = std::max(self.incarnation, accused) + 1;
+    self.incarnation = std::max(self.incarnation, accused_incarnation) + 1;
   }
   Count(call.state, MembershipCount::kRefuted);
   QueueSelf(call);
   GossipNow(call, call.state.settings.gossip_fan_out);
 }
 
-void ApplyMember(Call& call, const Member& news, Source source) {
+void ApplyMember(CallContext& call, const Member& update, UpdateSource source) {
   Membership& state = call.state;
-  if (news.data_center != state.self.data_center) {
+  if (update.data_center != state.self.data_center) {
     Count(state, MembershipCount::kWrongDataCenter);
     return;
   }
-  if (news.id == state.self.id)
-    return ApplyToSelf(call, news.incarnation, news.status);
-  const auto found = state.members.find(news.id);
+  if (update.id == state.self.id)
+    return ApplyToSelf(call, update.incarnation, update.status);
+  const auto found = state.members.find(update.id);
   if (found == state.members.end()) {
-    AddMember(call, news);
-  } else if (news.status != MemberStatus::kAlive) {
-    ApplyExchangedStatus(call, news);
+    AddMember(call, update);
+  } else if (update.status != MemberStatus::kAlive) {
+    ApplyExchangedStatus(call, update);
     return;
-  } else if (news.incarnation > found->second.member.incarnation) {
-    ReplaceMember(call, found->second, news);
+  } else if (update.incarnation > found->second.member.incarnation) {
+    ReplaceMember(call, found->second, update);
   } else {
     return;
   }
-  if (source != Source::kExchange)
-    QueueRumour(call, news);
+  if (source != UpdateSource::kExchange)
+    QueueRumour(call, update);
 }
 
-void Suspect(Call& call, MemberEntry& entry, const std::string& accuser) {
+void Suspect(CallContext& call,
+             MemberEntry& entry,
+             const std::string& accuser) {
   const bool first = entry.member.status == MemberStatus::kAlive;
   if (first)
     SetStatus(call, entry, MemberStatus::kSuspect);
@@ -173,69 +184,69 @@
   if (!entry.accusers.insert(accuser).second)
     return;
   entry.suspect_deadline =
-      entry.since + SuspicionTime(call.state, entry.accusers.size());
-  SweepBy(call.state, entry.suspect_deadline);
+      entry.status_since + SuspicionTimeout(call.state, entry.accusers.size());
+  ScheduleSweep(call.state, entry.suspect_deadline);
   QueueRumour(call, Accusation{entry.member.id, entry.member.incarnation,
                                MemberStatus::kSuspect, accuser});
 }
 
-void ApplyAccusation(Call& call, const Accusation& news) {
+void ApplyAccusation(CallContext& call, const Accusation& accusation) {
   Membership& state = call.state;
-  if (news.id == state.self.id) {
-    if (news.incarnation >= state.self.incarnation &&
-        news.status != MemberStatus::kLeft && !state.leaving)
-      Degrade(state);
-    return ApplyToSelf(call, news.incarnation, news.status);
+  if (accusation.id == state.self.id) {
+    if (accusation.incarnation >= state.self.incarnation &&
+        accusation.status != MemberStatus::kLeft && !state.leaving)
+      WorsenHealthScore(state);
+    return ApplyToSelf(call, accusation.incarnation, accusation.status);
   }
-  const auto found = state.members.find(news.id);
+  const auto found = state.members.find(accusation.id);
   if (found == state.members.end())
     return;
   MemberEntry& entry = found->second;
   const std::uint64_t known = entry.member.incarnation;
-  const bool newer = news.incarnation > known;
-  if (news.incarnation < known)
+  const bool newer = accusation.incarnation > known;
+  if (accusation.incarnation < known)
     return;
-  switch (news.status) {
+  switch (accusation.status) {
     case MemberStatus::kAlive:
       return;
     case MemberStatus::kSuspect:
       if (!IsLive(entry))
         return;
-      entry.member.incarnation = news.incarnation;
-      Suspect(call, entry, news.accuser);
+      entry.member.incarnation = accusation.incarnation;
+      Suspect(call, entry, accusation.accuser);
       return;
     case MemberStatus::kDead:
       if (IsLive(entry) || newer)
-        MarkGone(call, entry, news);
+        MarkGone(call, entry, accusation);
       return;
     case MemberStatus::kLeft:
       if (entry.member.status != MemberStatus::kLeft || newer)
-        MarkGone(call, entry, news);
+        MarkGone(call, entry, accusation);
       return;
   }
 }
 
-void ApplyOpaque(Call& call, const OpaqueRumour& news) {
-  auto& known = call.state.opaque;
-  const auto key = std::make_pair(news.topic, news.key);
+void ApplyOpaque(CallContext& call, const OpaqueRumour& rumour) {
+  auto& known = call.state.opaque_rumours;
+  const auto key = std::make_pair(rumour.topic, rumour.key);
   const auto found = known.find(key);
-  const bool full =
-      found == known.end() && known.size() >= call.state.settings.max_opaque;
-  if (full || news.expires <= call.now) {
+  const bool full = found == known.end() &&
+                    known.size() >= call.state.settings.max_opaque_rumours;
+  if (full || rumour.expires <= call.now) {
     Count(call.state, MembershipCount::kRumourDropped);
     return;
   }
-  if (found != known.end() && found->second.version >= news.version)
+  if (found != known.end() && found->second.version >= rumour.version)
     return;
-  known.insert_or_assign(key, news);
-  call.actions.rumours.push_back(news);
-  QueueRumour(call, news);
+  known.insert_or_assign(key, rumour);
+  call.actions.rumours.push_back(rumour);
+  QueueRumour(call, rumour);
 }
 
-void ApplyRumours(Call& call, const std::vector<Rumour>& rumours) {
+void ApplyRumours(CallContext& call, const std::vector<Rumour>& rumours) {
   for (const Rumour& rumour : rumours) {
     if (const auto* member = std::get_if<Member>(&rumour))
-      ApplyMember(call, *member, Source::kRumour);
+      ApplyMember(call, *member, UpdateSource::kRumour);
     else if (const auto* accusation = std::get_if<Accusation>(&rumour))
       ApplyAccusation(call, *accusation);
     else
@@ -243,20 +254,20 @@
   }
 }
 
-void TickSuspicions(Call& call) {
+void TickSuspicions(CallContext& call) {
   Membership& state = call.state;
-  if (InDoubt(state, call.now) || call.now < state.next_sweep)
+  if (IsResyncing(state, call.now) || call.now < state.next_sweep)
     return;
   state.next_sweep = call.now + kSweepInterval;
-  std::erase_if(state.opaque, [&call](const auto& row) {
+  std::erase_if(state.opaque_rumours, [&call](const auto& row) {
     return row.second.expires <= call.now;
   });
   for (auto row = state.members.begin(); row != state.members.end();) {
     MemberEntry& entry = row->second;
     if (entry.member.status == MemberStatus::kSuspect)
       TickSuspicion(call, entry);
-    const bool forget =
-        !IsLive(entry) && call.now - entry.since > state.settings.forget_after;
+    const bool forget = !IsLive(entry) && call.now - entry.status_since >
+                                              state.settings.forget_after;
     row = forget ? state.members.erase(row) : std::next(row);
   }
 }
--- a/src/membership/probe.cc
+++ b/src/membership/probe.cc
@@ -6,49 +6,52 @@
 namespace teaselspread::membership {
 namespace {
 
-int Widening(const Membership& state) {
-  return state.awareness + 1;
+int TimeoutMultiplier(const Membership& state) {
+  return state.health_score + 1;
 }
 
-void Recover(Membership& state) {
-  state.awareness = std::max(0, state.awareness - 1);
+void ImproveHealthScore(Membership& state) {
+  state.health_score = std::max(0, state.health_score - 1);
 }
 
 // The next live member in this round; nullptr when there is none.
-MemberEntry* NextTarget(Call& call) {
+MemberEntry* NextProbeTarget(CallContext& call) {
   Membership& state = call.state;
   for (int round = 0; round < 2; ++round) {
-    while (state.next_in_order < state.order.size()) {
-      const auto found = state.members.find(state.order[state.next_in_order++]);
+    while (state.next_probe_index < state.probe_order.size()) {
+      const auto found =
+          state.members.find(state.probe_order[state.next_probe_index++]);
       if (found != state.members.end() && IsLive(found->second))
         return &found->second;
     }
-    std::erase_if(state.order, [&state](const std::string& id) {
+    std::erase_if(state.probe_order, [&state](const std::string& id) {
       const auto found = state.members.find(id);
       if (found == state.members.end())
         return true;
-      found->second.in_order = IsLive(found->second);
-      return !found->second.in_order;
+      found->second.in_probe_order = IsLive(found->second);
+      return !found->second.in_probe_order;
     });
-    std::shuffle(state.order.begin(), state.order.end(), call.rng);
-    state.next_in_order = 0;
+    std::shuffle(state.probe_order.begin(), state.probe_order.end(), call.rng);
+    state.next_probe_index = 0;
   }
   return nullptr;
 }
 
-void StartProbe(Call& call) {
+void StartProbe(CallContext& call) {
   Membership& state = call.state;
-  const Duration period = state.settings.period * Widening(state);
+  const Duration period =
+      state.settings.protocol_period * TimeoutMultiplier(state);
   state.next_probe = call.now + period;
-  const MemberEntry* target = NextTarget(call);
+  const MemberEntry* target = NextProbeTarget(call);
   if (target == nullptr)
     return;
   Probe probe;
   probe.target = target->member.id;
   probe.incarnation = target->member.incarnation;
   probe.sequence = state.next_sequence++;
-  probe.sent = call.now;
-  probe.indirect_at = call.now + state.settings.probe_timeout * Widening(state);
+  probe.sent_at = call.now;
+  probe.indirect_at =
+      call.now + state.settings.probe_timeout * TimeoutMultiplier(state);
   probe.deadline = call.now + period;
   const Address to = target->member.control;
   state.probe = probe;
@@ -57,14 +60,14 @@
             TakeRumours(call, probe.target)});
 }
 
-void StartIndirect(Call& call, Probe& probe) {
+void StartIndirectProbe(CallContext& call, Probe& probe) {
   Membership& state = call.state;
   probe.indirect_sent = true;
   const auto found = state.members.find(probe.target);
   if (found == state.members.end())
     return;
   const Address target = found->second.member.control;
-  for (const MemberEntry* helper : PickLive(
+  for (const MemberEntry* helper : PickLiveMembers(
            state, state.settings.indirect_probes, probe.target, call.rng)) {
     ++probe.nacks_expected;
     Send(call, helper->member.control,
@@ -75,15 +78,15 @@
 
 // Helpers that could not reach the target said so; helpers that stayed silent
 // speak against this node's own links, so it doubts itself.
-void FinishFailed(Call& call, const Probe& probe) {
+void HandleProbeFailure(CallContext& call, const Probe& probe) {
   Membership& state = call.state;
   Count(state, MembershipCount::kProbeFailed);
   if (probe.nacks_seen < probe.nacks_expected)
-    Degrade(state);
+    WorsenHealthScore(state);
   const auto found = state.members.find(probe.target);
   if (found == state.members.end() || !IsLive(found->second) ||
       found->second.member.incarnation != probe.incarnation ||
-      InDoubt(state, call.now))
+      IsResyncing(state, call.now))
     return;
   Count(state, MembershipCount::kSuspected);
   Suspect(call, found->second, state.self.id);
@@ -97,7 +100,7 @@
       });
 }
 
-void TickRelays(Call& call) {
+void TickRelays(CallContext& call) {
   Membership& state = call.state;
   for (auto row = state.relays.begin(); row != state.relays.end();) {
     if (row->second.nack_at > call.now) {
@@ -112,36 +115,38 @@
 
 }  // namespace
 
-void Degrade(Membership& state) {
-  state.awareness = std::min(state.settings.max_awareness, state.awareness + 1);
+void WorsenHealthScore(Membership& state) {
+  state.health_score =
+      std::min(state.settings.max_health_score, state.health_score + 1);
 }
 
-void AddToOrder(Call& call, MemberEntry& entry) {
-  if (entry.in_order)
+void AddToOrder(CallContext& call, MemberEntry& entry) {
+  if (entry.in_probe_order)
     return;
-  entry.in_order = true;
-  std::vector<std::string>& order = call.state.order;
-  std::uniform_int_distribution<std::size_t> any(0, order.size());
-  order.insert(order.begin() + static_cast<std::ptrdiff_t>(any(call.rng)),
-               entry.member.id);
+  entry.in_probe_order = true;
+  std::vector<std::string>& order = call.state.probe_order;
+  std::uniform_int_distribution<std::size_t> random_index(0, order.size());
+  order.insert(
+      order.begin() + static_cast<std::ptrdiff_t>(random_index(call.rng)),
+      entry.member.id);
 }
 
-void TickProbe(Call& call) {
+void TickProbe(CallContext& call) {
   Membership& state = call.state;
   TickRelays(call);
   if (state.probe && !state.probe->indirect_sent &&
       call.now >= state.probe->indirect_at)
-    StartIndirect(call, *state.probe);
+    StartIndirectProbe(call, *state.probe);
   if (state.probe && call.now >= state.probe->deadline) {
     const Probe failed = std::move(*state.probe);
     state.probe.reset();
-    FinishFailed(call, failed);
+    HandleProbeFailure(call, failed);
   }
   if (!state.probe && call.now >= state.next_probe)
     StartProbe(call);
 }
 
-void ReceivePing(Call& call, const Ping& ping) {
+void ReceivePing(CallContext& call, const Ping& ping) {
   if (ping.target != call.state.self.id) {
     Count(call.state, MembershipCount::kWrongTarget);
     return;
@@ -156,7 +161,7 @@
            std::move(rumours)});
 }
 
-void ReceivePingRequest(Call& call, const PingRequest& request) {
+void ReceivePingRequest(CallContext& call, const PingRequest& request) {
   Membership& state = call.state;
   const std::uint32_t sequence = state.next_sequence++;
   RelayedProbe relay;
@@ -169,7 +174,7 @@
             TakeRumours(call, request.target)});
 }
 
-void ReceiveAck(Call& call, const Ack& ack) {
+void ReceiveAck(CallContext& call, const Ack& ack) {
   Membership& state = call.state;
   if (const auto relay = state.relays.find(ack.sequence);
       relay != state.relays.end()) {
@@ -189,13 +194,13 @@
   if (ack.from.id == ack.target && ack.from.log_age_ms != kAgeUnknown &&
       !call.actions.versions.empty()) {
     call.actions.versions.back().fresh_as_of =
-        state.probe->sent - std::chrono::milliseconds(ack.from.log_age_ms);
+        state.probe->sent_at - std::chrono::milliseconds(ack.from.log_age_ms);
   }
   state.probe.reset();
-  Recover(state);
+  ImproveHealthScore(state);
 }
 
-void ReceiveNack(Call& call, const Nack& nack) {
+void ReceiveNack(CallContext& call, const Nack& nack) {
   if (call.state.probe && call.state.probe->sequence == nack.sequence)
     ++call.state.probe->nacks_seen;
 }
--- a/src/membership/rumours.cc
+++ b/src/membership/rumours.cc
@@ -10,11 +10,11 @@
 
 // Leaves room for the frame header, the sender, a probe's target, the notice to
 // an accused receiver and an own entry.
-constexpr std::size_t kRumourRoom = kMaxDatagramBytes - 400;
+constexpr std::size_t kMaxRumourBytes = kMaxDatagramBytes - 400;
 
 // More than these never fit that room; a herd's queue is much longer.
-constexpr std::size_t kMostRumours = 24;
-constexpr double kSmallestRumour = 30;
+constexpr std::size_t kMaxRumours = 24;
+constexpr double kMinRumourBytes = 30;
 
 std::string SubjectOf(const Member& member) {
   return "m/" + member.id;
@@ -35,8 +35,8 @@
 
 void RefillTokens(Membership& state, TimePoint now) {
   const double seconds =
-      std::chrono::duration<double>(now - state.tokens_at).count();
-  state.tokens_at = now;
+      std::chrono::duration<double>(now - state.tokens_refilled_at).count();
+  state.tokens_refilled_at = now;
   const auto burst = static_cast<double>(state.settings.rumour_burst_bytes);
   const auto rate = static_cast<double>(state.settings.rumour_bytes_per_second);
   state.rumour_tokens = std::min(burst, state.rumour_tokens + seconds * rate);
@@ -45,30 +45,31 @@
 // What must be known within seconds goes before what may wait. In one queue, an
 // upstream that leaves stood behind the evidence of moves and was sent work for
 // seven seconds more (40 rows a second, 100 nodes).
-enum class Urgency : std::uint8_t { kMembers, kVerdicts, kFigures };
+enum class RumourPriority : std::uint8_t { kMembers, kVerdicts, kEvidence };
 
-Urgency UrgencyOf(const Rumour& rumour) {
+RumourPriority RumourPriorityOf(const Rumour& rumour) {
   const auto* opaque = std::get_if<OpaqueRumour>(&rumour);
   if (opaque == nullptr)
-    return Urgency::kMembers;
+    return RumourPriority::kMembers;
   const bool is_final =
       opaque->topic == Topic::kVerdict || opaque->topic == Topic::kCrashSuspect;
-  return is_final ? Urgency::kVerdicts : Urgency::kFigures;
+  return is_final ? RumourPriority::kVerdicts : RumourPriority::kEvidence;
 }
 
 // The rows of the queue to send next: the urgent first, of those the least
 // sent.
-std::vector<std::map<std::string, QueuedRumour>::iterator> ByTransmits(
+std::vector<std::map<std::string, QueuedRumour>::iterator> RowsInSendOrder(
     Membership& state) {
   std::vector<std::map<std::string, QueuedRumour>::iterator> rows;
-  for (auto row = state.queue.begin(); row != state.queue.end(); ++row)
+  for (auto row = state.rumour_queue.begin(); row != state.rumour_queue.end();
+       ++row)
     rows.push_back(row);
-  const std::size_t count = std::min(rows.size(), kMostRumours);
+  const std::size_t count = std::min(rows.size(), kMaxRumours);
   const auto middle = rows.begin() + static_cast<std::ptrdiff_t>(count);
   std::partial_sort(
       rows.begin(), middle, rows.end(), [](auto left, auto right) {
-        return std::pair(left->second.urgency, left->second.transmits) <
-               std::pair(right->second.urgency, right->second.transmits);
+        return std::pair(left->second.priority, left->second.transmits) <
+               std::pair(right->second.priority, right->second.transmits);
       });
   rows.resize(count);
   return rows;
@@ -76,9 +77,9 @@
 
 // Tells a member that it is accused, before anything else: it can then refute
 // with its next message, while a rumour among others might reach it too late.
-void TakeBuddyNotice(const Membership& state,
-                     const std::string& to,
-                     std::vector<Rumour>& taken) {
+void AddBuddyNotice(const Membership& state,
+                    const std::string& to,
+                    std::vector<Rumour>& taken) {
   const auto found = state.members.find(to);
   if (found == state.members.end())
     return;
@@ -91,57 +92,59 @@
 
 }  // namespace
 
-void QueueRumour(Call& call, Rumour rumour) {
+void QueueRumour(CallContext& call, Rumour rumour) {
   std::string subject =
       std::visit([](const auto& typed) { return SubjectOf(typed); }, rumour);
   QueuedRumour queued{std::move(rumour), 0, 0, 0};
-  queued.urgency = static_cast<std::uint8_t>(UrgencyOf(queued.rumour));
+  queued.priority = static_cast<std::uint8_t>(RumourPriorityOf(queued.rumour));
   queued.bytes = EncodedSize(queued.rumour);
-  call.state.queue.insert_or_assign(std::move(subject), std::move(queued));
-  const TimePoint soon =
+  call.state.rumour_queue.insert_or_assign(std::move(subject),
+                                           std::move(queued));
+  const TimePoint gossip_at =
       call.now + RandomUpTo(call.state.settings.gossip_interval, call.rng);
-  call.state.next_gossip = std::min(call.state.next_gossip, soon);
+  call.state.next_gossip = std::min(call.state.next_gossip, gossip_at);
 }
 
-void QueueSelf(Call& call) {
+void QueueSelf(CallContext& call) {
   QueueRumour(call, call.state.self);
 }
 
-std::vector<Rumour> TakeRumours(Call& call, const std::string& to) {
+std::vector<Rumour> TakeRumours(CallContext& call, const std::string& to) {
   Membership& state = call.state;
   std::vector<Rumour> taken;
-  TakeBuddyNotice(state, to, taken);
-  if (state.queue.empty())
+  AddBuddyNotice(state, to, taken);
+  if (state.rumour_queue.empty())
     return taken;
   RefillTokens(state, call.now);
   const std::size_t limit = TransmitLimit(state);
-  const std::string own = SubjectOf(state.self);
-  if (state.rumour_tokens < kSmallestRumour && !state.queue.contains(own)) {
+  const std::string self_subject = SubjectOf(state.self);
+  if (state.rumour_tokens < kMinRumourBytes &&
+      !state.rumour_queue.contains(self_subject)) {
     Count(state, MembershipCount::kBudgetDeferred);
     return taken;
   }
-  std::size_t room = kRumourRoom;
-  for (const auto& row : ByTransmits(state)) {
+  std::size_t remaining_bytes = kMaxRumourBytes;
+  for (const auto& row : RowsInSendOrder(state)) {
     QueuedRumour& queued = row->second;
-    if (queued.bytes > room)
+    if (queued.bytes > remaining_bytes)
       continue;
     const auto cost = static_cast<double>(queued.bytes);
-    if (state.rumour_tokens < cost && row->first != own) {
+    if (state.rumour_tokens < cost && row->first != self_subject) {
       Count(state, MembershipCount::kBudgetDeferred);
       break;
     }
     state.rumour_tokens -= cost;
-    room -= queued.bytes;
+    remaining_bytes -= queued.bytes;
     taken.push_back(queued.rumour);
     if (++queued.transmits >= limit)
-      state.queue.erase(row);
+      state.rumour_queue.erase(row);
   }
   return taken;
 }
 
-void GossipNow(Call& call, std::size_t fan_out) {
+void GossipNow(CallContext& call, std::size_t fan_out) {
   for (const MemberEntry* entry :
-       PickLive(call.state, fan_out, call.state.self.id, call.rng)) {
+       PickLiveMembers(call.state, fan_out, call.state.self.id, call.rng)) {
     std::vector<Rumour> rumours = TakeRumours(call, entry->member.id);
     if (rumours.empty())
       return;
@@ -150,12 +153,12 @@
   }
 }
 
-void TickGossip(Call& call) {
+void TickGossip(CallContext& call) {
   Membership& state = call.state;
   if (call.now < state.next_gossip)
     return;
   GossipNow(call, state.settings.gossip_fan_out);
-  state.next_gossip = state.queue.empty()
+  state.next_gossip = state.rumour_queue.empty()
                           ? TimePoint::max()
                           : call.now + state.settings.gossip_interval;
 }
--- a/src/node/membership_service.cc
+++ b/src/node/membership_service.cc
@@ -126,7 +126,7 @@
                               });
   kernel.Register<HeldChanged>(
       kMembershipService, [&](const HeldChanged& held) {
-        SetHeld(service.state, held.held, held.fresh_as_of);
+        SetHeldVersion(service.state, held.held, held.fresh_as_of);
       });
   kernel.Post(kMembershipService, Tick{});
 }
--- a/tests/support/network.h
+++ b/tests/support/network.h
@@ -228,7 +228,7 @@
       this->Transmit(index, std::move(send));
     if (!actions.apply.empty())
       this->Apply(index, actions.apply);
-    SetHeld(node.membership, node.spread.held, node.spread.fresh_as_of);
+    SetHeldVersion(node.membership, node.spread.held, node.spread.fresh_as_of);
     this->ScheduleNext(index);
   }
 
--- a/tests/unit/membership_test.cc
+++ b/tests/unit/membership_test.cc
@@ -11,9 +11,9 @@
 namespace {
 
 // A running network of `count` nodes that all know each other.
-Network Joined(std::size_t count,
-               NetworkSettings settings,
-               std::uint64_t seed) {
+Network MakeJoinedNetwork(std::size_t count,
+                          NetworkSettings settings,
+                          std::uint64_t seed) {
   Network net(settings, seed);
   for (std::size_t i = 0; i < count; ++i)
     net.Add("bole");
@@ -22,9 +22,9 @@
   return net;
 }
 
-std::size_t KnownAs(const Network& net,
-                    const std::string& id,
-                    MemberStatus status) {
+std::size_t CountNodesSeeing(const Network& net,
+                             const std::string& id,
+                             MemberStatus status) {
   std::size_t count = 0;
   for (const auto& node : net.nodes) {
     const Member* member = FindMember(node->membership, id);
@@ -36,7 +36,7 @@
 
 Test(membership, all_nodes_come_to_know_each_other) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    const Network net = Joined(60, {.loss = 0.05}, seed);
+    const Network net = MakeJoinedNetwork(60, {.loss = 0.05}, seed);
     cr_assert(net.Share([](const Node& node) {
       return CountLive(node.membership) == 59;
     }) == 1.0);
@@ -48,7 +48,7 @@
 // and go on sending it work; the caller sees refusals or a cut answer.
 Test(membership, leaving_is_known_to_200_nodes_within_3_seconds) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Network net = Joined(200, {.loss = 0.05}, seed);
+    Network net = MakeJoinedNetwork(200, {.loss = 0.05}, seed);
     net.Announce(17, UpstreamState::kLeaving);
     net.Run(seconds(3));
     cr_assert(net.Share([](const Node& node) {
@@ -58,7 +58,7 @@
               "seed %d", static_cast<int>(seed));
     net.Leave(17);
     net.Run(seconds(3));
-    cr_assert(KnownAs(net, "vm-17", MemberStatus::kLeft) == 199);
+    cr_assert(CountNodesSeeing(net, "vm-17", MemberStatus::kLeft) == 199);
   }
 }
 
@@ -69,7 +69,7 @@
   constexpr int kNodes = 100;
   constexpr int kRows = 40;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    Network net = Joined(kNodes, {.loss = 0.05}, seed);
+    Network net = MakeJoinedNetwork(kNodes, {.loss = 0.05}, seed);
     for (int second = 1; second <= 23; ++second) {
       for (std::size_t row = 0; row < kRows; ++row) {
         Node& node = *net.nodes[row];
@@ -96,7 +96,7 @@
 // failure detector takes it out, and calls to it fail meanwhile.
 Test(membership, a_dead_node_is_found_and_no_other_is_blamed) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    Network net = Joined(50, {.loss = 0.05}, seed);
+    Network net = MakeJoinedNetwork(50, {.loss = 0.05}, seed);
     std::set<std::string> dead;
     net.on_change = [&dead](const Node&, const Member& member) {
       if (member.status == MemberStatus::kDead)
@@ -104,26 +104,26 @@
     };
     net.Kill(9);
     net.Run(seconds(15));
-    cr_assert(KnownAs(net, "vm-9", MemberStatus::kDead) == 49);
+    cr_assert(CountNodesSeeing(net, "vm-9", MemberStatus::kDead) == 49);
     net.Run(seconds(120));
     cr_assert(dead == std::set<std::string>{"vm-9"});
     net.Start(9);
     net.Run(seconds(3));
-    cr_assert(KnownAs(net, "vm-9", MemberStatus::kAlive) == 49);
+    cr_assert(CountNodesSeeing(net, "vm-9", MemberStatus::kAlive) == 49);
   }
 }
 
 // A VM comes back with its clock an hour behind. All know a later start of it,
 // and its news would lose against the entry of the dead one for an hour.
 Test(membership, a_restart_with_its_clock_set_back_is_known_as_a_restart) {
-  Network net = Joined(20, {.loss = 0.05}, 1);
+  Network net = MakeJoinedNetwork(20, {.loss = 0.05}, 1);
   const std::uint64_t before = net.nodes[4]->membership.self.incarnation;
   net.Kill(4);
   net.Run(seconds(1));
   net.Start(4, std::chrono::hours(1));
   net.Run(seconds(5));
   const Node& restarted = *net.nodes[4];
-  cr_assert(KnownAs(net, "vm-4", MemberStatus::kAlive) == 19);
+  cr_assert(CountNodesSeeing(net, "vm-4", MemberStatus::kAlive) == 19);
   cr_assert(net.Share([&](const Node& node) {
     return StartOf(FindMember(node.membership, "vm-4")->incarnation) >
            StartOf(before);
@@ -136,7 +136,7 @@
 // everyone, and healthy upstreams would drop out of every list.
 Test(membership, a_paused_node_blames_nobody_and_publishes_nothing_stale) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Network net = Joined(20, {.loss = 0.02}, seed);
+    Network net = MakeJoinedNetwork(20, {.loss = 0.02}, seed);
     std::set<std::string> dead;
     std::set<std::string> suspected_by_paused;
     net.on_change = [&](const Node& node, const Member& member) {
@@ -158,7 +158,7 @@
     dead.erase("vm-3");
     cr_assert(dead.empty(), "seed %d: %s", static_cast<int>(seed),
               dead.empty() ? "" : dead.begin()->c_str());
-    cr_assert(KnownAs(net, "vm-3", MemberStatus::kAlive) == 19);
+    cr_assert(CountNodesSeeing(net, "vm-3", MemberStatus::kAlive) == 19);
     cr_assert(net.Share([](const Node& node) {
       return FindMember(node.membership, "vm-5")->upstream.state ==
              UpstreamState::kLeaving;
@@ -171,7 +171,7 @@
 // apart for good after the cut heals.
 Test(membership, two_halves_find_each_other_after_a_cut) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Network net = Joined(40, {.loss = 0.02}, seed);
+    Network net = MakeJoinedNetwork(40, {.loss = 0.02}, seed);
     for (std::size_t i = 0; i < 20; ++i)
       net.nodes[i]->group = 1;
     net.Run(seconds(60));
@@ -222,7 +222,7 @@
 }
 
 Test(membership, an_opaque_rumour_reaches_all_and_the_last_version_wins) {
-  Network net = Joined(80, {.loss = 0.05, .repeat = 0.1}, 4);
+  Network net = MakeJoinedNetwork(80, {.loss = 0.05, .repeat = 0.1}, 4);
   const auto publish = [&net](std::size_t index, std::uint64_t version) {
     Node& node = *net.nodes[index];
     Result<MembershipActions> actions =
@@ -236,7 +236,8 @@
   publish(40, 3);
   net.Run(seconds(4));
   cr_assert(net.Share([](const Node& node) {
-    return node.membership.opaque.at({Topic::kVerdict, "move-1"}).version == 3;
+    return node.membership.opaque_rumours.at({Topic::kVerdict, "move-1"})
+               .version == 3;
   }) == 1.0);
   Node& node = *net.nodes[0];
   Result<MembershipActions> brief =
@@ -245,7 +246,7 @@
              node.rng);
   net.Take(0, std::move(*brief));
   const auto knows = [](const Node& any) {
-    return any.membership.opaque.contains({Topic::kCrashSuspect, "k"});
+    return any.membership.opaque_rumours.contains({Topic::kCrashSuspect, "k"});
   };
   net.Run(seconds(4));
   cr_assert(net.Share(knows) == 1.0);
