--- a/benchmark/capacity_requests.h
+++ b/benchmark/capacity_requests.h
@@ -116,27 +116,27 @@
       BeginClaim(keepers[0], {"vm-17", 1, sequence},
                  {"key-" + std::to_string(sequence), false, TimePoint{}},
                  DigestOf("POST", "/filings", std::string(2000, 'x')), now);
-  const std::string ask = ClaimFrame(AskOf(attempt));
+  const std::string ask = ClaimFrame(RequestOf(attempt));
   sum.gatekeeper_us += ThreadMicros() - begin;
   std::vector<std::string> votes;
   votes.reserve(keepers.size());
   begin = ThreadMicros();
   for (ClaimKeeper& keeper : keepers)
     votes.push_back(
-        ClaimFrame(VoteOn(keeper, std::get<ClaimAsk>(ClaimIn(ask)), now)));
+        ClaimFrame(VoteOn(keeper, std::get<ClaimRequest>(ClaimIn(ask)), now)));
   sum.holder_us += ThreadMicros() - begin;
   begin = ThreadMicros();
   for (const std::string& vote : votes)
-    TakeVote(attempt, std::get<ClaimVote>(ClaimIn(vote)), now);
+    ReceiveVote(attempt, std::get<ClaimVote>(ClaimIn(vote)), now);
   if (!MayRun(attempt, now))
     std::abort();
-  const std::string done =
-      ClaimFrame(DoneOf(keepers[0].settings, attempt,
-                        {201, "text/plain", std::string(200, 'f'), true}));
+  const std::string done = ClaimFrame(
+      CompletionOf(keepers[0].settings, attempt,
+                   {201, "text/plain", std::string(200, 'f'), true}));
   sum.gatekeeper_us += ThreadMicros() - begin;
   begin = ThreadMicros();
   for (ClaimKeeper& keeper : keepers)
-    RecordOutcome(keeper, std::get<ClaimDone>(ClaimIn(done)), now);
+    RecordOutcome(keeper, std::get<ClaimCompletion>(ClaimIn(done)), now);
   sum.holder_us += ThreadMicros() - begin;
   sum.bytes =
       double(ask.size() + votes[0].size() + done.size()) + 3 * kHeaderBytes;
@@ -168,7 +168,7 @@
   // A record stays for twice the life of a key and the window.
   const ClaimSettings settings;
   const double life =
-      std::chrono::duration<double>(2 * settings.key_life).count();
+      std::chrono::duration<double>(2 * settings.key_lifetime).count();
   const std::string holder_slope = SlopeText(at_holder, "claim (us)");
   rows.push_back({"holder", "claims/s that fill 2.8% of a core", "/s",
                   kCpuBound * 1e4 / at_holder.slope, 0, holder_slope,
@@ -203,7 +203,7 @@
     ClaimKeeper keeper = ThreeHolders(now)[0];
     for (int i = 0; i < records; ++i) {
       ClaimRecord record;
-      record.touched = now;
+      record.updated_at = now;
       keeper.records["key-" + std::to_string(i)] = record;
     }
     TimePoint at = now;
@@ -215,7 +215,7 @@
   const Line line = Report("holder: tick", "record", "us", tick);
   const ClaimSettings settings;
   const double life =
-      std::chrono::duration<double>(2 * settings.key_life).count();
+      std::chrono::duration<double>(2 * settings.key_lifetime).count();
   rows.push_back({"holder", "claims/s at which ticks fill 2.8% of a core", "/s",
                   kCpuBound * 1e4 / kTicksPerSecond / line.slope / life, 0,
                   SlopeText(line, "record (us)"), "worked out"});
--- a/benchmark/requests_bench.cc
+++ b/benchmark/requests_bench.cc
@@ -147,11 +147,11 @@
         BeginClaim(keepers[0], {"node-0", 1, sequence},
                    {key, false, TimePoint{}}, digest, kStart);
     for (ClaimKeeper& keeper : keepers)
-      TakeVote(attempt, VoteOn(keeper, AskOf(attempt), kStart), kStart);
+      ReceiveVote(attempt, VoteOn(keeper, RequestOf(attempt), kStart), kStart);
     if (!MayRun(attempt, kStart))
       std::abort();
-    const ClaimDone done =
-        DoneOf(keepers[0].settings, attempt, {201, "", "filed", true});
+    const ClaimCompletion done =
+        CompletionOf(keepers[0].settings, attempt, {201, "", "filed", true});
     for (ClaimKeeper& keeper : keepers)
       RecordOutcome(keeper, done, kStart);
   });
--- a/include/teaselspread/claim_messages.h
+++ b/include/teaselspread/claim_messages.h
@@ -114,11 +114,11 @@
   // For kCheckpoint: the last one that was activated, and the offset of the
   // last record that its writer had folded.
   ClaimEpoch active;
-  std::uint64_t folded_upto = 0;
+  std::uint64_t folded_up_to = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->kind, this->epoch, this->active, this->folded_upto);
+    archive(this->kind, this->epoch, this->active, this->folded_up_to);
   }
 };
 
@@ -147,13 +147,13 @@
   int status = 0;
   std::string content_type;
   std::string body;
-  bool body_kept = true;
+  bool body_stored = true;
 
   bool operator==(const ClaimOutcome&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->status, this->content_type, this->body, this->body_kept);
+    archive(this->status, this->content_type, this->body, this->body_stored);
   }
 };
 
@@ -167,19 +167,19 @@
   // Epoch in which this holder itself granted it.
   std::uint64_t epoch = 0;
   ClaimState state = ClaimState::kClaimed;
-  TimePoint touched;
+  TimePoint updated_at;
   ClaimOutcome outcome;
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(this->digest, this->attempt, this->epoch, this->state);
-    SerializeTime(archive, this->touched);
+    SerializeTime(archive, this->updated_at);
     archive(this->outcome);
   }
 };
 
 // Gatekeeper to holder: may this attempt run?
-struct ClaimAsk {
+struct ClaimRequest {
   std::uint64_t epoch = 0;
   AttemptId attempt;
   ClaimKey key;
@@ -208,7 +208,7 @@
   std::string holder;
   VoteKind kind = VoteKind::kAbstain;
   // For kHeld: the attempt that holds it may still be running.
-  bool recent = false;
+  bool may_be_running = false;
   // For kDone.
   ClaimOutcome outcome;
   // Newest epoch that the holder knows.
@@ -216,7 +216,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(this->attempt, this->holder, this->kind, this->recent,
+    archive(this->attempt, this->holder, this->kind, this->may_be_running,
             this->outcome, this->newest_epoch);
   }
 };
@@ -233,7 +233,7 @@
 };
 
 // Gatekeeper to holder: it ran, and this was the answer.
-struct ClaimDone {
+struct ClaimCompletion {
   std::string key;
   AttemptId attempt;
   RequestDigest digest;
@@ -247,7 +247,7 @@
 
 // New holder to a holder of the epoch before: vote no more in it, and hand over
 // what you have.
-struct SealAsk {
+struct HandoverRequest {
   ClaimEpoch epoch;
   Holder from;
 
@@ -259,7 +259,7 @@
 
 // kState: sealed, with its records. kNeverVoted: it never got to vote in that
 // epoch and never will. kReplaced: the process that was asked for is gone.
-enum class SealKind : std::uint8_t { kState, kNeverVoted, kReplaced };
+enum class HandoverKind : std::uint8_t { kState, kNeverVoted, kReplaced };
 
 struct KeyedRecord {
   std::string key;
@@ -272,10 +272,10 @@
 };
 
 // Answer to SealAsk. Large: send it over TCP.
-struct SealAnswer {
+struct HandoverResponse {
   std::uint64_t epoch = 0;
   std::string holder;
-  SealKind kind = SealKind::kReplaced;
+  HandoverKind kind = HandoverKind::kReplaced;
   TimePoint complete_since;
   std::vector<KeyedRecord> records;
 
--- a/include/teaselspread/claims.h
+++ b/include/teaselspread/claims.h
@@ -26,31 +26,31 @@
 struct ClaimSettings {
   // A caller repeats a key for at most this long after it first sent it; a
   // request that it sent may be on the way for as long again.
-  Duration key_life = std::chrono::minutes(5);
+  Duration key_lifetime = std::chrono::minutes(5);
   // Bound on the difference between the clocks of two nodes.
-  Duration clock_bound = std::chrono::milliseconds(500);
+  Duration max_clock_skew = std::chrono::milliseconds(500);
   // A gatekeeper must be granted and start its run within this of asking.
   Duration claim_window = std::chrono::seconds(5);
   // A node whose ticks were further apart than this was paused: what waits in
   // its sockets may be older than any record of the key.
-  Duration longest_gap = std::chrono::seconds(1);
+  Duration max_tick_gap = std::chrono::seconds(1);
   // A claim older than this without an outcome counts as "outcome unknown"
   // instead of "in progress".
-  Duration longest_run = std::chrono::seconds(30);
+  Duration max_run_time = std::chrono::seconds(30);
   // How long a new holder waits for old ones that may still answer.
-  Duration patience = std::chrono::seconds(2);
+  Duration handover_timeout = std::chrono::seconds(2);
   // Old holders that neither answer nor are known to be gone are waited for
   // this long; a holder stops voting when it could not read the log for half.
-  Duration fence = std::chrono::minutes(30);
+  Duration fencing_timeout = std::chrono::minutes(30);
   // Largest answer body that is kept with an outcome.
-  std::size_t kept_body_bytes = 4096;
+  std::size_t max_stored_body_bytes = 4096;
 };
 
 // The fold of the log's epoch records. Every reader comes to the same one. An
 // epoch that another one replaced before it was activated never votes.
 struct EpochLog {
   // False until a reader of a trimmed log has found a base to fold from.
-  bool known = false;
+  bool has_base = false;
   ClaimEpoch current;
   ClaimEpoch active;
 };
@@ -81,19 +81,19 @@
 
 // kOutside: not a holder. kTakingOver: named, but the epoch before may still
 // decide, or this one is not activated yet. kVoting: votes.
-enum class HolderState : std::uint8_t { kOutside, kTakingOver, kVoting };
+enum class HolderState : std::uint8_t { kNotHolder, kTakingOver, kVoting };
 
 // "outside", "taking-over" or "voting". Thread safe.
 [[nodiscard]] std::string_view NameOf(HolderState state);
 
 // How an old holder was closed.
-enum class Closing : std::uint8_t { kOpen, kSealed, kNeverVoted, kGone };
+enum class HandoverState : std::uint8_t { kOpen, kSealed, kNeverVoted, kGone };
 
 using ClaimTable = std::unordered_map<std::string, ClaimRecord>;
 
 // What one holder of the epoch before (the last activated one) handed over.
 struct Handover {
-  Closing closing = Closing::kOpen;
+  HandoverState state = HandoverState::kOpen;
   TimePoint complete_since;
   std::vector<KeyedRecord> records;
 };
@@ -103,7 +103,7 @@
   ClaimSettings settings;
   Holder self;
   ClaimEpoch epoch;
-  HolderState state = HolderState::kOutside;
+  HolderState state = HolderState::kNotHolder;
   // The log says that `epoch` was activated.
   bool activated = false;
   ClaimTable records;
@@ -111,28 +111,28 @@
   TimePoint complete_since = TimePoint::min();
   // Last epoch in which this node voted, whose records it still has.
   std::uint64_t voted_epoch = 0;
-  TimePoint epoch_learned;
-  TimePoint log_confirmed;
+  TimePoint epoch_learned_at;
+  TimePoint log_confirmed_at;
   TimePoint last_tick;
   // When records that are too old are looked for next.
   TimePoint next_sweep;
   // Requests read before this may have waited through a pause.
-  TimePoint distrust_until;
+  TimePoint stale_requests_until;
   std::map<std::string, Handover> handovers;
 };
 
 // The records of the sender's epoch are asked for, at these holders.
-struct SealAsks {
-  SealAsk ask;
-  std::vector<Holder> to;
+struct HandoverRequests {
+  HandoverRequest request;
+  std::vector<Holder> recipients;
 };
 
 // A newer epoch was read from the log, or shown by a message. Stops voting in
 // the old one at once. Returns whom to ask for a handover, if this node is a
 // holder of the new one. Not thread safe.
-[[nodiscard]] SealAsks LearnEpoch(ClaimKeeper& keeper,
-                                  const ClaimEpoch& epoch,
-                                  TimePoint now);
+[[nodiscard]] HandoverRequests LearnEpoch(ClaimKeeper& keeper,
+                                          const ClaimEpoch& epoch,
+                                          TimePoint now);
 
 // True if the old epoch is closed and the log does not say yet that this one is
 // active: append a kActivate record of `keeper.epoch`, again if it got lost.
@@ -144,30 +144,33 @@
 
 // Who still has to hand over: repeat the ask to them now and then. Not thread
 // safe.
-[[nodiscard]] SealAsks OpenHandovers(const ClaimKeeper& keeper);
+[[nodiscard]] HandoverRequests OpenHandovers(const ClaimKeeper& keeper);
 
 // A read of the log that began at `began` reached its end and showed no newer
 // epoch. A holder that is never told so does not vote. Nodes that do not read
 // the log may be told by those that do. Not thread safe.
-void ConfirmEpoch(ClaimKeeper& keeper, TimePoint began);
+void ConfirmEpoch(ClaimKeeper& keeper, TimePoint read_began_at);
 
 // Answers a new holder; `asked_id` and `asked_boot_id` are what it asked for.
 // Call LearnEpoch with ask.epoch first: nothing is answered before, since this
 // node might still vote in the old epoch. Not thread safe.
-[[nodiscard]] std::optional<SealAnswer> AnswerSeal(const ClaimKeeper& keeper,
-                                                   const SealAsk& ask,
-                                                   std::string_view asked_id,
-                                                   std::uint64_t asked_boot_id);
+[[nodiscard]] std::optional<HandoverResponse> MakeHandoverResponse(
+    const ClaimKeeper& keeper,
+    const HandoverRequest& request,
+    std::string_view requested_id,
+    std::uint64_t requested_boot_id);
 
 // An old holder answered. Not thread safe.
-void TakeHandover(ClaimKeeper& keeper, const SealAnswer& answer, TimePoint now);
+void ReceiveHandover(ClaimKeeper& keeper,
+                     const HandoverResponse& response,
+                     TimePoint now);
 
 // The process `boot_id` of node `id` is known to be gone: another process
 // speaks for the node. Silence is no proof. Not thread safe.
-void HolderGone(ClaimKeeper& keeper,
-                std::string_view id,
-                std::uint64_t boot_id,
-                TimePoint now);
+void MarkHolderGone(ClaimKeeper& keeper,
+                    std::string_view id,
+                    std::uint64_t boot_id,
+                    TimePoint now);
 
 // Time has passed: starts to vote if it may, drops records that are too old,
 // notices pauses. Call it about every 100 ms, and for the first time before the
@@ -178,14 +181,16 @@
 
 // Votes on one attempt. Not thread safe.
 [[nodiscard]] ClaimVote VoteOn(ClaimKeeper& keeper,
-                               const ClaimAsk& ask,
+                               const ClaimRequest& request,
                                TimePoint now);
 
 // Not thread safe.
 void ReleaseClaim(ClaimKeeper& keeper, const ClaimRelease& release);
 
 // Not thread safe.
-void RecordOutcome(ClaimKeeper& keeper, const ClaimDone& done, TimePoint now);
+void RecordOutcome(ClaimKeeper& keeper,
+                   const ClaimCompletion& completion,
+                   TimePoint now);
 
 // kGranted: run it, if MayRun still says so. kInProgress, kUnknown: answer with
 // kInProgress or kOutcomeUnknown. kDone: answer with the outcome. kMismatch:
@@ -214,7 +219,7 @@
   RequestDigest digest;
   ClaimEpoch epoch;
   Duration window{};
-  TimePoint asked;
+  TimePoint requested_at;
   std::map<std::string, ClaimVote> votes;
   ClaimVerdict verdict = ClaimVerdict::kPending;
   ClaimOutcome outcome;
@@ -233,16 +238,16 @@
 
 // The message for every holder; repeat it to those that did not vote. Not
 // thread safe.
-[[nodiscard]] ClaimAsk AskOf(const ClaimAttempt& attempt);
+[[nodiscard]] ClaimRequest RequestOf(const ClaimAttempt& attempt);
 
 // Takes in a vote; votes for other attempts, repeated and late ones change
 // nothing. Returns the verdict so far. Not thread safe.
-ClaimVerdict TakeVote(ClaimAttempt& attempt,
-                      const ClaimVote& vote,
-                      TimePoint now);
+ClaimVerdict ReceiveVote(ClaimAttempt& attempt,
+                         const ClaimVote& vote,
+                         TimePoint now);
 
 // No more votes are waited for (the deadline is near). Not thread safe.
-ClaimVerdict GiveUpClaim(ClaimAttempt& attempt);
+ClaimVerdict AbandonClaim(ClaimAttempt& attempt);
 
 // Ask this right before the request is sent to the upstream. If it is false,
 // answer kClaimUnavailable: the key is proved not to have run. Not thread safe.
@@ -253,9 +258,9 @@
 [[nodiscard]] ClaimRelease ReleaseOf(const ClaimAttempt& attempt);
 
 // For every holder, once the upstream has answered in full. Not thread safe.
-[[nodiscard]] ClaimDone DoneOf(const ClaimSettings& settings,
-                               const ClaimAttempt& attempt,
-                               ClaimOutcome outcome);
+[[nodiscard]] ClaimCompletion CompletionOf(const ClaimSettings& settings,
+                                           const ClaimAttempt& attempt,
+                                           ClaimOutcome outcome);
 
 }  // namespace teaselspread
 
--- a/src/claims/attempt.cc
+++ b/src/claims/attempt.cc
@@ -22,28 +22,29 @@
                      [&id](const Holder& holder) { return holder.id == id; });
 }
 
-bool AnyRecent(const ClaimAttempt& attempt) {
-  return std::any_of(attempt.votes.begin(), attempt.votes.end(),
-                     [](const auto& entry) { return entry.second.recent; });
+bool AnyMayBeRunning(const ClaimAttempt& attempt) {
+  return std::any_of(
+      attempt.votes.begin(), attempt.votes.end(),
+      [](const auto& entry) { return entry.second.may_be_running; });
 }
 
 // A request that waited in a socket through a pause can be older than the
 // records of its key; it would then run a second time.
 bool WasPaused(const ClaimKeeper& keeper, TimePoint now) {
-  return now - keeper.last_tick > keeper.settings.longest_gap ||
-         now < keeper.distrust_until;
+  return now - keeper.last_tick > keeper.settings.max_tick_gap ||
+         now < keeper.stale_requests_until;
 }
 
 // Without a majority the key is held by another attempt, or not enough holders
 // could tell.
-ClaimVerdict WithoutMajority(const ClaimAttempt& attempt) {
+ClaimVerdict VerdictWithoutMajority(const ClaimAttempt& attempt) {
   if (CountVotes(attempt, VoteKind::kHeld) == 0)
     return ClaimVerdict::kUnproven;
-  return AnyRecent(attempt) ? ClaimVerdict::kInProgress
-                            : ClaimVerdict::kUnknown;
+  return AnyMayBeRunning(attempt) ? ClaimVerdict::kInProgress
+                                  : ClaimVerdict::kUnknown;
 }
 
-ClaimVerdict Judge(const ClaimAttempt& attempt) {
+ClaimVerdict EvaluateVotes(const ClaimAttempt& attempt) {
   const std::size_t holders = attempt.epoch.holders.size();
   const std::size_t quorum = QuorumOf(attempt.epoch.holders);
   const std::size_t grants = CountVotes(attempt, VoteKind::kGrant);
@@ -56,7 +57,7 @@
   const std::size_t pending = holders - attempt.votes.size();
   if (grants + pending >= quorum)
     return ClaimVerdict::kPending;
-  return WithoutMajority(attempt);
+  return VerdictWithoutMajority(attempt);
 }
 
 }  // namespace
@@ -90,19 +91,19 @@
   attempt.digest = digest;
   attempt.epoch = keeper.epoch;
   attempt.window = keeper.settings.claim_window;
-  attempt.asked = now;
+  attempt.requested_at = now;
   if (keeper.epoch.holders.empty() || WasPaused(keeper, now))
     attempt.verdict = ClaimVerdict::kUnproven;
   return attempt;
 }
 
-ClaimAsk AskOf(const ClaimAttempt& attempt) {
+ClaimRequest RequestOf(const ClaimAttempt& attempt) {
   return {attempt.epoch.number, attempt.id, attempt.key, attempt.digest};
 }
 
-ClaimVerdict TakeVote(ClaimAttempt& attempt,
-                      const ClaimVote& vote,
-                      TimePoint now) {
+ClaimVerdict ReceiveVote(ClaimAttempt& attempt,
+                         const ClaimVote& vote,
+                         TimePoint now) {
   if (vote.newest_epoch > attempt.epoch.number)
     attempt.epoch_is_old = true;
   if (attempt.verdict != ClaimVerdict::kPending || vote.attempt != attempt.id ||
@@ -110,36 +111,36 @@
     return attempt.verdict;
   // An ask that lay about for long may have been granted after the record of
   // an earlier run had expired.
-  if (now - attempt.asked > attempt.window)
-    return GiveUpClaim(attempt);
+  if (now - attempt.requested_at > attempt.window)
+    return AbandonClaim(attempt);
   attempt.votes.emplace(vote.holder, vote);
-  attempt.verdict = Judge(attempt);
+  attempt.verdict = EvaluateVotes(attempt);
   if (attempt.verdict == ClaimVerdict::kDone)
     attempt.outcome = vote.outcome;
   return attempt.verdict;
 }
 
-ClaimVerdict GiveUpClaim(ClaimAttempt& attempt) {
+ClaimVerdict AbandonClaim(ClaimAttempt& attempt) {
   if (attempt.verdict == ClaimVerdict::kPending)
-    attempt.verdict = WithoutMajority(attempt);
+    attempt.verdict = VerdictWithoutMajority(attempt);
   return attempt.verdict;
 }
 
 bool MayRun(const ClaimAttempt& attempt, TimePoint now) {
   return attempt.verdict == ClaimVerdict::kGranted &&
-         now - attempt.asked <= attempt.window;
+         now - attempt.requested_at <= attempt.window;
 }
 
 ClaimRelease ReleaseOf(const ClaimAttempt& attempt) {
   return {attempt.key.text, attempt.id};
 }
 
-ClaimDone DoneOf(const ClaimSettings& settings,
-                 const ClaimAttempt& attempt,
-                 ClaimOutcome outcome) {
-  if (outcome.body.size() > settings.kept_body_bytes) {
+ClaimCompletion CompletionOf(const ClaimSettings& settings,
+                             const ClaimAttempt& attempt,
+                             ClaimOutcome outcome) {
+  if (outcome.body.size() > settings.max_stored_body_bytes) {
     outcome.body.clear();
-    outcome.body_kept = false;
+    outcome.body_stored = false;
   }
   return {attempt.key.text, attempt.id, attempt.digest, std::move(outcome)};
 }
--- a/src/claims/coverage.h
+++ b/src/claims/coverage.h
@@ -8,8 +8,8 @@
 
 // From a key's first sending to the last moment at which a repeat of it can be
 // granted. Thread safe.
-[[nodiscard]] inline Duration LongestRepeat(const ClaimSettings& settings) {
-  return 2 * settings.key_life + settings.claim_window;
+[[nodiscard]] inline Duration MaxRetryAge(const ClaimSettings& settings) {
+  return 2 * settings.key_lifetime + settings.claim_window;
 }
 
 // True if `keeper` would have a record of `key`, had it been claimed before.
--- a/src/claims/epoch.cc
+++ b/src/claims/epoch.cc
@@ -7,19 +7,19 @@
 namespace teaselspread {
 namespace {
 
-constexpr std::size_t kMostHolders = 3;
+constexpr std::size_t kMaxHolders = 3;
 // Milliseconds since 1970, in 2004.
-constexpr std::uint64_t kLeastRestart = 1ULL << 40;
+constexpr std::uint64_t kMinRestartNumber = 1ULL << 40;
 
-bool IsCandidate(std::span<const Holder> candidates, const Holder& holder) {
-  return std::any_of(candidates.begin(), candidates.end(),
+bool ContainsProcess(std::span<const Holder> holders, const Holder& holder) {
+  return std::any_of(holders.begin(), holders.end(),
                      [&holder](const Holder& candidate) {
                        return SameProcess(candidate, holder);
                      });
 }
 
-std::size_t HeldIn(const std::vector<Holder>& holders,
-                   std::string_view data_center) {
+std::size_t CountInDataCenter(const std::vector<Holder>& holders,
+                              std::string_view data_center) {
   return static_cast<std::size_t>(std::count_if(
       holders.begin(), holders.end(), [data_center](const Holder& holder) {
         return holder.data_center == data_center;
@@ -32,14 +32,14 @@
                            std::span<const Holder> candidates,
                            std::size_t offset) {
   const Holder* best = nullptr;
-  std::size_t fewest = kMostHolders + 1;
+  std::size_t fewest = kMaxHolders + 1;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const Holder& candidate = candidates[(i + offset) % candidates.size()];
-    if (IsCandidate(holders, candidate))
+    if (ContainsProcess(holders, candidate))
       continue;
-    const std::size_t there = HeldIn(holders, candidate.data_center);
-    if (there < fewest) {
-      fewest = there;
+    const std::size_t count = CountInDataCenter(holders, candidate.data_center);
+    if (count < fewest) {
+      fewest = count;
       best = &candidate;
     }
   }
@@ -52,7 +52,8 @@
                          std::span<const Holder> candidates) {
   return std::any_of(candidates.begin(), candidates.end(),
                      [&holders](const Holder& candidate) {
-                       return HeldIn(holders, candidate.data_center) == 0;
+                       return CountInDataCenter(holders,
+                                                candidate.data_center) == 0;
                      });
 }
 
@@ -61,7 +62,7 @@
   std::set<std::string> ids;
   for (const Holder& holder : epoch.holders)
     ids.insert(holder.id);
-  return epoch.number > 0 && !ids.empty() && ids.size() <= kMostHolders &&
+  return epoch.number > 0 && !ids.empty() && ids.size() <= kMaxHolders &&
          ids.size() == epoch.holders.size();
 }
 
@@ -91,10 +92,10 @@
 // active one: nobody knows whom to close.
 bool FoldRestart(EpochLog& log, const ClaimEpoch& epoch) {
   const bool well_formed = IsWellFormed(epoch) && epoch.previous.empty();
-  if (!well_formed || epoch.number < kLeastRestart ||
+  if (!well_formed || epoch.number < kMinRestartNumber ||
       epoch.number <= log.current.number)
     return false;
-  log.known = true;
+  log.has_base = true;
   log.current = epoch;
   log.active = ClaimEpoch{};
   return true;
@@ -109,7 +110,7 @@
     const bool is_checkpoint =
         logged.record.kind == EpochRecordKind::kCheckpoint &&
         IsWellFormed(logged.record.epoch);
-    if (is_checkpoint && logged.record.folded_upto + 1 >= first_offset)
+    if (is_checkpoint && logged.record.folded_up_to + 1 >= first_offset)
       return &logged;
   }
   return nullptr;
@@ -120,19 +121,19 @@
 EpochLog ReadEpochs(std::span<const LoggedEpoch> records,
                     std::uint64_t first_offset) {
   EpochLog log;
-  log.known = first_offset == 0;
-  std::uint64_t folded_upto = 0;
-  if (!log.known) {
+  log.has_base = first_offset == 0;
+  std::uint64_t folded_up_to = 0;
+  if (!log.has_base) {
     if (const LoggedEpoch* base = FindBase(records, first_offset)) {
-      folded_upto = base->record.folded_upto;
+      folded_up_to = base->record.folded_up_to;
       log = {true, base->record.epoch, base->record.active};
     }
   }
-  const bool whole = first_offset == 0;
+  const bool is_untrimmed = first_offset == 0;
   for (const LoggedEpoch& logged : records) {
-    const bool is_new = whole || logged.offset > folded_upto;
+    const bool is_new = is_untrimmed || logged.offset > folded_up_to;
     const bool is_restart = logged.record.kind == EpochRecordKind::kRestart;
-    if (is_new && (log.known || is_restart))
+    if (is_new && (log.has_base || is_restart))
       FoldEpoch(log, logged.record);
   }
   return log;
@@ -178,13 +179,14 @@
   if (candidates.empty())
     return std::nullopt;
   for (const Holder& holder : log.current.holders) {
-    const bool crowded = HeldIn(next.holders, holder.data_center) > 0 &&
-                         HasUnusedDataCenter(log.current.holders, candidates);
-    if (IsCandidate(candidates, holder) && !crowded)
+    const bool shares_data_center =
+        CountInDataCenter(next.holders, holder.data_center) > 0 &&
+        HasUnusedDataCenter(log.current.holders, candidates);
+    if (ContainsProcess(candidates, holder) && !shares_data_center)
       next.holders.push_back(holder);
   }
   const std::size_t offset = rng() % candidates.size();
-  while (next.holders.size() < kMostHolders) {
+  while (next.holders.size() < kMaxHolders) {
     const Holder* addition = BestAddition(next.holders, candidates, offset);
     if (addition == nullptr)
       break;
--- a/src/claims/keeper.cc
+++ b/src/claims/keeper.cc
@@ -10,11 +10,11 @@
 constexpr std::array<std::string_view, 3> kStateNames = {
     "outside", "taking-over", "voting"};
 
-ClaimVote VoteFor(const ClaimKeeper& keeper,
-                  const ClaimAsk& ask,
-                  VoteKind kind) {
+ClaimVote MakeVote(const ClaimKeeper& keeper,
+                   const ClaimRequest& request,
+                   VoteKind kind) {
   ClaimVote vote;
-  vote.attempt = ask.attempt;
+  vote.attempt = request.attempt;
   vote.holder = keeper.self.id;
   vote.kind = kind;
   vote.newest_epoch = keeper.epoch.number;
@@ -23,47 +23,51 @@
 
 // A holder that is cut off from the log may have been replaced without knowing
 // it, and its successors wait only so long.
-bool MayVote(const ClaimKeeper& keeper, const ClaimAsk& ask, TimePoint now) {
+bool MayVote(const ClaimKeeper& keeper,
+             const ClaimRequest& request,
+             TimePoint now) {
   return keeper.state == HolderState::kVoting &&
-         ask.epoch == keeper.epoch.number &&
-         now - keeper.log_confirmed < keeper.settings.fence / 2;
+         request.epoch == keeper.epoch.number &&
+         now - keeper.log_confirmed_at < keeper.settings.fencing_timeout / 2;
 }
 
-ClaimVote Grant(ClaimKeeper& keeper, const ClaimAsk& ask, TimePoint now) {
-  if (!Covers(keeper, ask.key, now))
-    return VoteFor(keeper, ask, VoteKind::kAbstain);
+ClaimVote Grant(ClaimKeeper& keeper,
+                const ClaimRequest& request,
+                TimePoint now) {
+  if (!Covers(keeper, request.key, now))
+    return MakeVote(keeper, request, VoteKind::kAbstain);
   ClaimRecord record;
-  record.digest = ask.digest;
-  record.attempt = ask.attempt;
-  record.epoch = ask.epoch;
-  record.touched = now;
-  keeper.records[ask.key.text] = record;
-  return VoteFor(keeper, ask, VoteKind::kGrant);
+  record.digest = request.digest;
+  record.attempt = request.attempt;
+  record.epoch = request.epoch;
+  record.updated_at = now;
+  keeper.records[request.key.text] = record;
+  return MakeVote(keeper, request, VoteKind::kGrant);
 }
 
-ClaimVote VoteOnKnown(ClaimKeeper& keeper,
-                      const ClaimRecord& record,
-                      const ClaimAsk& ask,
-                      TimePoint now) {
+ClaimVote VoteOnRecord(ClaimKeeper& keeper,
+                       const ClaimRecord& record,
+                       const ClaimRequest& request,
+                       TimePoint now) {
   const bool same_attempt =
-      record.attempt == ask.attempt && record.epoch == ask.epoch;
+      record.attempt == request.attempt && record.epoch == request.epoch;
   if (record.state == ClaimState::kReleased) {
     // The ask of the released attempt itself came late or twice.
-    return same_attempt ? VoteFor(keeper, ask, VoteKind::kAbstain)
-                        : Grant(keeper, ask, now);
+    return same_attempt ? MakeVote(keeper, request, VoteKind::kAbstain)
+                        : Grant(keeper, request, now);
   }
-  if (record.digest != ask.digest)
-    return VoteFor(keeper, ask, VoteKind::kMismatch);
+  if (record.digest != request.digest)
+    return MakeVote(keeper, request, VoteKind::kMismatch);
   if (record.state == ClaimState::kClaimed && same_attempt)
-    return VoteFor(keeper, ask, VoteKind::kGrant);
+    return MakeVote(keeper, request, VoteKind::kGrant);
   if (record.state == ClaimState::kDone) {
-    ClaimVote vote = VoteFor(keeper, ask, VoteKind::kDone);
+    ClaimVote vote = MakeVote(keeper, request, VoteKind::kDone);
     vote.outcome = record.outcome;
     return vote;
   }
-  ClaimVote vote = VoteFor(keeper, ask, VoteKind::kHeld);
-  vote.recent = record.state == ClaimState::kClaimed &&
-                now - record.touched < keeper.settings.longest_run;
+  ClaimVote vote = MakeVote(keeper, request, VoteKind::kHeld);
+  vote.may_be_running = record.state == ClaimState::kClaimed &&
+                        now - record.updated_at < keeper.settings.max_run_time;
   return vote;
 }
 
@@ -75,26 +79,29 @@
 
 bool Covers(const ClaimKeeper& keeper, const ClaimKey& key, TimePoint now) {
   const ClaimSettings& settings = keeper.settings;
-  const TimePoint since = keeper.complete_since;
+  const TimePoint complete_since = keeper.complete_since;
   if (key.has_issue_time) {
-    const bool too_old = key.issued < now - settings.key_life;
-    const bool too_new = key.issued > now + settings.clock_bound;
+    const bool too_old = key.issued < now - settings.key_lifetime;
+    const bool too_new = key.issued > now + settings.max_clock_skew;
     if (too_old || too_new)
       return false;
-    return since == TimePoint::min() ||
-           key.issued > since + 2 * settings.clock_bound;
+    return complete_since == TimePoint::min() ||
+           key.issued > complete_since + 2 * settings.max_clock_skew;
   }
-  return since == TimePoint::min() || now > since + LongestRepeat(settings);
+  return complete_since == TimePoint::min() ||
+         now > complete_since + MaxRetryAge(settings);
 }
 
-ClaimVote VoteOn(ClaimKeeper& keeper, const ClaimAsk& ask, TimePoint now) {
-  if (!MayVote(keeper, ask, now))
-    return VoteFor(keeper, ask, VoteKind::kAbstain);
-  const auto found = keeper.records.find(ask.key.text);
+ClaimVote VoteOn(ClaimKeeper& keeper,
+                 const ClaimRequest& request,
+                 TimePoint now) {
+  if (!MayVote(keeper, request, now))
+    return MakeVote(keeper, request, VoteKind::kAbstain);
+  const auto found = keeper.records.find(request.key.text);
   if (found == keeper.records.end())
-    return Grant(keeper, ask, now);
+    return Grant(keeper, request, now);
   const ClaimRecord record = found->second;
-  return VoteOnKnown(keeper, record, ask, now);
+  return VoteOnRecord(keeper, record, request, now);
 }
 
 void ReleaseClaim(ClaimKeeper& keeper, const ClaimRelease& release) {
@@ -106,17 +113,19 @@
     record.state = ClaimState::kReleased;
 }
 
-void RecordOutcome(ClaimKeeper& keeper, const ClaimDone& done, TimePoint now) {
-  if (keeper.state == HolderState::kOutside)
+void RecordOutcome(ClaimKeeper& keeper,
+                   const ClaimCompletion& completion,
+                   TimePoint now) {
+  if (keeper.state == HolderState::kNotHolder)
     return;
-  ClaimRecord& record = keeper.records[done.key];
+  ClaimRecord& record = keeper.records[completion.key];
   if (record.state == ClaimState::kDone)
     return;
-  record.digest = done.digest;
-  record.attempt = done.attempt;
+  record.digest = completion.digest;
+  record.attempt = completion.attempt;
   record.state = ClaimState::kDone;
-  record.outcome = done.outcome;
-  record.touched = now;
+  record.outcome = completion.outcome;
+  record.updated_at = now;
 }
 
 }  // namespace teaselspread
--- a/src/claims/key.cc
+++ b/src/claims/key.cc
@@ -8,10 +8,10 @@
 namespace teaselspread {
 namespace {
 
-constexpr std::size_t kLongestKey = 128;
+constexpr std::size_t kMaxKeyLength = 128;
 constexpr std::size_t kUuidLength = 36;
-constexpr std::size_t kVersionAt = 14;
-constexpr std::size_t kVariantAt = 19;
+constexpr std::size_t kVersionOffset = 14;
+constexpr std::size_t kVariantOffset = 19;
 constexpr int kHexBase = 16;
 
 constexpr std::array<std::string_view, 5> kVoteNames = {"grant", "held", "done",
@@ -32,9 +32,9 @@
 }
 
 bool IsUuidVersion7(std::string_view text) {
-  if (text.size() != kUuidLength || text[kVersionAt] != '7')
+  if (text.size() != kUuidLength || text[kVersionOffset] != '7')
     return false;
-  if (std::string_view("89abAB").find(text[kVariantAt]) ==
+  if (std::string_view("89abAB").find(text[kVariantOffset]) ==
       std::string_view::npos)
     return false;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -65,7 +65,7 @@
     return Fail(ErrorKind::kKeyMissing, "this route needs an Idempotency-Key");
   const bool printable = std::all_of(
       header.begin(), header.end(), [](char c) { return c > ' ' && c <= '~'; });
-  if (header.size() > kLongestKey || !printable) {
+  if (header.size() > kMaxKeyLength || !printable) {
     return Fail(ErrorKind::kBadRequest,
                 "Idempotency-Key: 1 to 128 printable characters, no spaces");
   }
--- a/src/claims/takeover.cc
+++ b/src/claims/takeover.cc
@@ -7,7 +7,7 @@
 namespace teaselspread {
 namespace {
 
-constexpr Duration kSweepEvery = std::chrono::seconds(10);
+constexpr Duration kSweepInterval = std::chrono::seconds(10);
 
 const Holder* FindHolder(const std::vector<Holder>& holders,
                          std::string_view id) {
@@ -23,27 +23,25 @@
       [&self](const Holder& holder) { return SameProcess(holder, self); });
 }
 
-std::size_t CountClosings(const ClaimKeeper& keeper, Closing closing) {
-  return static_cast<std::size_t>(
-      std::count_if(keeper.handovers.begin(), keeper.handovers.end(),
-                    [closing](const auto& entry) {
-                      return entry.second.closing == closing;
-                    }));
+std::size_t CountHandovers(const ClaimKeeper& keeper, HandoverState state) {
+  return static_cast<std::size_t>(std::count_if(
+      keeper.handovers.begin(), keeper.handovers.end(),
+      [state](const auto& entry) { return entry.second.state == state; }));
 }
 
 // While a majority of the old holders is open, the old epoch may still decide.
 bool OldEpochIsClosed(const ClaimKeeper& keeper) {
-  return CountClosings(keeper, Closing::kOpen) <
+  return CountHandovers(keeper, HandoverState::kOpen) <
          QuorumOf(keeper.epoch.previous);
 }
 
 // Every decision of the old epoch had a vote of a holder whose records are
 // here, unless a majority of it is gone or silent.
 bool HandoverIsComplete(const ClaimKeeper& keeper) {
-  const std::size_t unheard = CountClosings(keeper, Closing::kOpen) +
-                              CountClosings(keeper, Closing::kGone);
-  return CountClosings(keeper, Closing::kSealed) > 0 &&
-         unheard < QuorumOf(keeper.epoch.previous);
+  const std::size_t missing = CountHandovers(keeper, HandoverState::kOpen) +
+                              CountHandovers(keeper, HandoverState::kGone);
+  return CountHandovers(keeper, HandoverState::kSealed) > 0 &&
+         missing < QuorumOf(keeper.epoch.previous);
 }
 
 // Two old holders may have granted the key to different attempts, and the one
@@ -55,7 +53,7 @@
   if (is_new)
     return;
   ClaimRecord& known = found->second;
-  known.touched = std::max(known.touched, entry.record.touched);
+  known.updated_at = std::max(known.updated_at, entry.record.updated_at);
   if (known.state == ClaimState::kDone)
     return;
   if (entry.record.state == ClaimState::kDone) {
@@ -71,7 +69,7 @@
   ClaimTable table;
   TimePoint since = complete ? TimePoint::min() : now;
   for (const auto& [id, handover] : keeper.handovers) {
-    if (handover.closing != Closing::kSealed)
+    if (handover.state != HandoverState::kSealed)
       continue;
     since = std::max(since, handover.complete_since);
     for (const KeyedRecord& entry : handover.records)
@@ -89,14 +87,15 @@
   keeper.handovers.clear();
 }
 
-bool IsReady(const ClaimKeeper& keeper, TimePoint now) {
+bool IsReadyToVote(const ClaimKeeper& keeper, TimePoint now) {
   if (keeper.state != HolderState::kTakingOver || !OldEpochIsClosed(keeper))
     return false;
   // After a restart nobody knows who voted before: only time closes them.
   if (keeper.epoch.previous.empty())
-    return now - keeper.epoch_learned >= keeper.settings.fence;
-  const bool waited = now - keeper.epoch_learned >= keeper.settings.patience;
-  return HandoverIsComplete(keeper) || waited;
+    return now - keeper.epoch_learned_at >= keeper.settings.fencing_timeout;
+  const bool has_timed_out =
+      now - keeper.epoch_learned_at >= keeper.settings.handover_timeout;
+  return HandoverIsComplete(keeper) || has_timed_out;
 }
 
 // The log must say so before the first vote. Otherwise the next epoch could not
@@ -104,7 +103,7 @@
 // row of epochs, holders that were cut off went on in an old one while a new
 // one had closed only epochs that never voted, and keys ran twice.
 void TryToVote(ClaimKeeper& keeper, TimePoint now) {
-  if (keeper.activated && IsReady(keeper, now))
+  if (keeper.activated && IsReadyToVote(keeper, now))
     StartVoting(keeper, now);
 }
 
@@ -126,8 +125,8 @@
 
 Handover OwnHandover(const ClaimKeeper& keeper) {
   if (keeper.voted_epoch < keeper.epoch.previous_number)
-    return {Closing::kNeverVoted, {}, {}};
-  return {Closing::kSealed, keeper.complete_since, RecordsOf(keeper)};
+    return {HandoverState::kNeverVoted, {}, {}};
+  return {HandoverState::kSealed, keeper.complete_since, RecordsOf(keeper)};
 }
 
 void BeginTakeover(ClaimKeeper& keeper) {
@@ -137,56 +136,57 @@
     if (SameProcess(old, keeper.self))
       handover = OwnHandover(keeper);
     else if (old.id == keeper.self.id)
-      handover.closing = Closing::kGone;
+      handover.state = HandoverState::kGone;
   }
 }
 
 // A holder may keep a hundred thousand records: looking through all of them at
 // every tick was what first used up a holder's share of a core.
-void DropOldRecords(ClaimKeeper& keeper, TimePoint now) {
+void SweepRecords(ClaimKeeper& keeper, TimePoint now) {
   if (now < keeper.next_sweep)
     return;
-  keeper.next_sweep = now + kSweepEvery;
-  const Duration kept = LongestRepeat(keeper.settings);
-  std::erase_if(keeper.records, [now, kept](const auto& entry) {
-    return now - entry.second.touched > kept;
+  keeper.next_sweep = now + kSweepInterval;
+  const Duration max_age = MaxRetryAge(keeper.settings);
+  std::erase_if(keeper.records, [now, max_age](const auto& entry) {
+    return now - entry.second.updated_at > max_age;
   });
 }
 
-void NoticePause(ClaimKeeper& keeper, TimePoint now) {
-  const bool first = keeper.last_tick == TimePoint{};
-  if (!first && now - keeper.last_tick > keeper.settings.longest_gap)
-    keeper.distrust_until = now + keeper.settings.claim_window;
+void DetectPause(ClaimKeeper& keeper, TimePoint now) {
+  const bool is_first_tick = keeper.last_tick == TimePoint{};
+  if (!is_first_tick && now - keeper.last_tick > keeper.settings.max_tick_gap)
+    keeper.stale_requests_until = now + keeper.settings.claim_window;
   keeper.last_tick = now;
 }
 
-Handover* FindOpen(ClaimKeeper& keeper, std::string_view id) {
+Handover* FindOpenHandover(ClaimKeeper& keeper, std::string_view id) {
   const auto found = keeper.handovers.find(std::string(id));
   if (found == keeper.handovers.end() ||
-      found->second.closing != Closing::kOpen)
+      found->second.state != HandoverState::kOpen)
     return nullptr;
   return &found->second;
 }
 
-Closing ClosingOf(SealKind kind) {
-  if (kind == SealKind::kState)
-    return Closing::kSealed;
-  return kind == SealKind::kNeverVoted ? Closing::kNeverVoted : Closing::kGone;
+HandoverState HandoverStateOf(HandoverKind kind) {
+  if (kind == HandoverKind::kState)
+    return HandoverState::kSealed;
+  return kind == HandoverKind::kNeverVoted ? HandoverState::kNeverVoted
+                                           : HandoverState::kGone;
 }
 
 }  // namespace
 
-SealAsks LearnEpoch(ClaimKeeper& keeper,
-                    const ClaimEpoch& epoch,
-                    TimePoint now) {
+HandoverRequests LearnEpoch(ClaimKeeper& keeper,
+                            const ClaimEpoch& epoch,
+                            TimePoint now) {
   if (epoch.number <= keeper.epoch.number)
     return {};
   keeper.epoch = epoch;
   keeper.activated = false;
-  keeper.epoch_learned = now;
+  keeper.epoch_learned_at = now;
   keeper.handovers.clear();
   if (!IsHolder(epoch.holders, keeper.self)) {
-    keeper.state = HolderState::kOutside;
+    keeper.state = HolderState::kNotHolder;
     return {};
   }
   if (epoch.number == 1) {
@@ -199,7 +199,7 @@
 }
 
 bool WantsActivation(const ClaimKeeper& keeper, TimePoint now) {
-  return !keeper.activated && IsReady(keeper, now);
+  return !keeper.activated && IsReadyToVote(keeper, now);
 }
 
 void LearnActivation(ClaimKeeper& keeper, std::uint64_t number, TimePoint now) {
@@ -209,85 +209,87 @@
   TryToVote(keeper, now);
 }
 
-SealAsks OpenHandovers(const ClaimKeeper& keeper) {
-  SealAsks asks;
-  asks.ask = {keeper.epoch, keeper.self};
+HandoverRequests OpenHandovers(const ClaimKeeper& keeper) {
+  HandoverRequests requests;
+  requests.request = {keeper.epoch, keeper.self};
   if (keeper.state != HolderState::kTakingOver)
-    return asks;
+    return requests;
   for (const Holder& old : keeper.epoch.previous) {
     const auto found = keeper.handovers.find(old.id);
     if (found != keeper.handovers.end() &&
-        found->second.closing == Closing::kOpen)
-      asks.to.push_back(old);
+        found->second.state == HandoverState::kOpen)
+      requests.recipients.push_back(old);
   }
-  return asks;
+  return requests;
 }
 
-void ConfirmEpoch(ClaimKeeper& keeper, TimePoint began) {
-  keeper.log_confirmed = std::max(keeper.log_confirmed, began);
+void ConfirmEpoch(ClaimKeeper& keeper, TimePoint read_began_at) {
+  keeper.log_confirmed_at = std::max(keeper.log_confirmed_at, read_began_at);
 }
 
-std::optional<SealAnswer> AnswerSeal(const ClaimKeeper& keeper,
-                                     const SealAsk& ask,
-                                     std::string_view asked_id,
-                                     std::uint64_t asked_boot_id) {
-  SealAnswer answer;
-  if (keeper.epoch.number < ask.epoch.number)
+std::optional<HandoverResponse> MakeHandoverResponse(
+    const ClaimKeeper& keeper,
+    const HandoverRequest& request,
+    std::string_view requested_id,
+    std::uint64_t requested_boot_id) {
+  HandoverResponse response;
+  if (keeper.epoch.number < request.epoch.number)
     return std::nullopt;
-  answer.epoch = ask.epoch.number;
-  answer.holder = std::string(asked_id);
-  if (keeper.self.boot_id != asked_boot_id)
-    return answer;
+  response.epoch = request.epoch.number;
+  response.holder = std::string(requested_id);
+  if (keeper.self.boot_id != requested_boot_id)
+    return response;
   // One that votes in the new epoch already has all of the old one's records
   // and newer ones. Calling that "never voted" hid claims from the slowest of
   // the new holders, and keys ran twice.
-  if (keeper.voted_epoch < ask.epoch.previous_number) {
-    answer.kind = SealKind::kNeverVoted;
-    return answer;
+  if (keeper.voted_epoch < request.epoch.previous_number) {
+    response.kind = HandoverKind::kNeverVoted;
+    return response;
   }
-  answer.kind = SealKind::kState;
-  answer.complete_since = keeper.complete_since;
-  answer.records = RecordsOf(keeper);
-  return answer;
+  response.kind = HandoverKind::kState;
+  response.complete_since = keeper.complete_since;
+  response.records = RecordsOf(keeper);
+  return response;
 }
 
-void TakeHandover(ClaimKeeper& keeper,
-                  const SealAnswer& answer,
-                  TimePoint now) {
+void ReceiveHandover(ClaimKeeper& keeper,
+                     const HandoverResponse& response,
+                     TimePoint now) {
   if (keeper.state != HolderState::kTakingOver ||
-      answer.epoch != keeper.epoch.number)
+      response.epoch != keeper.epoch.number)
     return;
-  if (Handover* handover = FindOpen(keeper, answer.holder)) {
-    handover->closing = ClosingOf(answer.kind);
-    handover->complete_since = answer.complete_since;
-    handover->records = answer.records;
+  if (Handover* handover = FindOpenHandover(keeper, response.holder)) {
+    handover->state = HandoverStateOf(response.kind);
+    handover->complete_since = response.complete_since;
+    handover->records = response.records;
   }
   TryToVote(keeper, now);
 }
 
-void HolderGone(ClaimKeeper& keeper,
-                std::string_view id,
-                std::uint64_t boot_id,
-                TimePoint now) {
+void MarkHolderGone(ClaimKeeper& keeper,
+                    std::string_view id,
+                    std::uint64_t boot_id,
+                    TimePoint now) {
   const Holder* old = FindHolder(keeper.epoch.previous, id);
   if (old == nullptr || old->boot_id != boot_id)
     return;
-  if (Handover* handover = FindOpen(keeper, id))
-    handover->closing = Closing::kGone;
+  if (Handover* handover = FindOpenHandover(keeper, id))
+    handover->state = HandoverState::kGone;
   TryToVote(keeper, now);
 }
 
 void TickClaims(ClaimKeeper& keeper, TimePoint now) {
-  NoticePause(keeper, now);
-  const bool fenced = now - keeper.epoch_learned >= keeper.settings.fence;
-  if (keeper.state == HolderState::kTakingOver && fenced) {
+  DetectPause(keeper, now);
+  const bool is_fence_expired =
+      now - keeper.epoch_learned_at >= keeper.settings.fencing_timeout;
+  if (keeper.state == HolderState::kTakingOver && is_fence_expired) {
     for (auto& [id, handover] : keeper.handovers) {
-      if (handover.closing == Closing::kOpen)
-        handover.closing = Closing::kGone;
+      if (handover.state == HandoverState::kOpen)
+        handover.state = HandoverState::kGone;
     }
   }
   TryToVote(keeper, now);
-  DropOldRecords(keeper, now);
+  SweepRecords(keeper, now);
 }
 
 }  // namespace teaselspread
--- a/src/node/claim_calls.cc
+++ b/src/node/claim_calls.cc
@@ -42,7 +42,7 @@
                          service.kernel->Now());
     settled = attempt.verdict != ClaimVerdict::kPending;
     if (!settled)
-      SendToHolders(service, attempt.epoch, AskOf(attempt));
+      SendToHolders(service, attempt.epoch, RequestOf(attempt));
   }
   service.pending.emplace(sequence, pending);
   if (settled)
@@ -60,7 +60,7 @@
   if (decided)
     return pending->attempt.verdict;
   pending->abandoned = true;
-  const ClaimVerdict verdict = GiveUpClaim(pending->attempt);
+  const ClaimVerdict verdict = AbandonClaim(pending->attempt);
   service.post(
       [&service, pending] { Decide(service, pending->attempt.id.sequence); });
   return verdict;
@@ -81,7 +81,7 @@
   const std::scoped_lock lock(pending->gate);
   if (verdict == ClaimVerdict::kGranted)
     return Claim{pending->attempt, std::nullopt};
-  if (verdict == ClaimVerdict::kDone && pending->attempt.outcome.body_kept)
+  if (verdict == ClaimVerdict::kDone && pending->attempt.outcome.body_stored)
     return Claim{pending->attempt, pending->attempt.outcome};
   if (verdict == ClaimVerdict::kDone)
     return Fail(ErrorKind::kOutcomeUnknown,
@@ -123,7 +123,7 @@
     const ClaimAttempt& attempt = pending->attempt;
     for (const Holder& holder : attempt.epoch.holders) {
       if (!attempt.votes.contains(holder.id))
-        SendTo(service, holder.control, AskOf(attempt));
+        SendTo(service, holder.control, RequestOf(attempt));
     }
   }
 }
@@ -135,7 +135,7 @@
   ClaimVerdict verdict = ClaimVerdict::kPending;
   {
     const std::scoped_lock lock(found->second->gate);
-    verdict = TakeVote(found->second->attempt, vote, service.kernel->Now());
+    verdict = ReceiveVote(found->second->attempt, vote, service.kernel->Now());
   }
   if (verdict != ClaimVerdict::kPending)
     Decide(service, vote.attempt.sequence);
@@ -174,7 +174,7 @@
                const ClaimOutcome& outcome) {
   service.post([&service, attempt, outcome] {
     SendToHolders(service, attempt.epoch,
-                  DoneOf(service.keeper.settings, attempt, outcome));
+                  CompletionOf(service.keeper.settings, attempt, outcome));
     service.kernel->Advance(SystemNow());
   });
 }
--- a/src/node/claims_messages.h
+++ b/src/node/claims_messages.h
@@ -15,7 +15,7 @@
 // A SealAsk with the process that it is meant for: another process at the same
 // address must not answer in its place.
 struct SealRequest {
-  SealAsk ask;
+  HandoverRequest ask;
   std::string asked_id;
   std::uint64_t asked_boot_id = 0;
 
@@ -62,12 +62,12 @@
   }
 };
 
-using ClaimMessage = std::variant<ClaimAsk,
+using ClaimMessage = std::variant<ClaimRequest,
                                   ClaimVote,
                                   ClaimRelease,
-                                  ClaimDone,
+                                  ClaimCompletion,
                                   SealRequest,
-                                  SealAnswer,
+                                  HandoverResponse,
                                   EpochNotice,
                                   EpochQuery,
                                   HolderOffer>;
--- a/src/node/claims_service.cc
+++ b/src/node/claims_service.cc
@@ -33,10 +33,10 @@
 constexpr std::size_t kOffered = 2;
 constexpr int kCheckpointsPerRetention = 3;
 
-void SendSeals(ClaimsService& service, const SealAsks& asks) {
-  for (const Holder& holder : asks.to)
+void SendSeals(ClaimsService& service, const HandoverRequests& asks) {
+  for (const Holder& holder : asks.recipients)
     SendTo(service, holder.control,
-           SealRequest{asks.ask, holder.id, holder.boot_id});
+           SealRequest{asks.request, holder.id, holder.boot_id});
 }
 
 void Learn(ClaimsService& service, const ClaimEpoch& epoch) {
@@ -65,7 +65,7 @@
 
 // Whoever cannot read the log is told by those that do.
 void SendNotices(ClaimsService& service, bool to_all) {
-  if (!service.reader || !service.epochs.log.known)
+  if (!service.reader || !service.epochs.log.has_base)
     return;
   const EpochNotice notice = NoticeOf(service);
   SendToHolders(service, service.epochs.log.current, notice);
@@ -77,7 +77,7 @@
 
 bool IsSettled(const ClaimsService& service) {
   const EpochLog& log = service.epochs.log;
-  return log.known && log.current.number == log.active.number;
+  return log.has_base && log.current.number == log.active.number;
 }
 
 // A member counts until it is said to be gone and for a while after; an offer
@@ -135,7 +135,7 @@
 // wait until those of any lost epoch have stopped by themselves.
 void RestartIfLost(ClaimsService& service) {
   const TimePoint now = service.kernel->Now();
-  if (!service.reader || service.epochs.log.known) {
+  if (!service.reader || service.epochs.log.has_base) {
     service.unknown_since = now;
     return;
   }
@@ -149,7 +149,7 @@
 
 void ProposeIfNeeded(ClaimsService& service) {
   const TimePoint now = service.kernel->Now();
-  if (!service.reader || !service.epochs.log.known ||
+  if (!service.reader || !service.epochs.log.has_base ||
       now - service.end_read_at > kFreshRead || now < service.next_proposal)
     return;
   // Spread at random, so that the readers of all data centres do not all
@@ -166,7 +166,7 @@
 
 void CheckpointIfDue(ClaimsService& service) {
   const TimePoint now = service.kernel->Now();
-  if (!service.reader || !service.epochs.log.known ||
+  if (!service.reader || !service.epochs.log.has_base ||
       service.epochs.log.current.number == 0 || now < service.next_checkpoint)
     return;
   const Duration third = service.retention / kCheckpointsPerRetention;
@@ -178,7 +178,7 @@
   EpochRecord record =
       RecordOf(EpochRecordKind::kCheckpoint, service.epochs.log.current);
   record.active = service.epochs.log.active;
-  record.folded_upto = service.epochs.through;
+  record.folded_up_to = service.epochs.through;
   AppendEpoch(service, record);
 }
 
@@ -253,13 +253,13 @@
   LearnActive(service, notice.active);
   if (notice.epoch.number == service.keeper.epoch.number)
     ConfirmEpoch(service.keeper, TimePoint(Duration(notice.confirmed_at_us)) -
-                                     service.keeper.settings.clock_bound);
+                                     service.keeper.settings.max_clock_skew);
 }
 
 void HearSeal(ClaimsService& service, const SealRequest& request) {
   Learn(service, request.ask.epoch);
-  if (auto answer = AnswerSeal(service.keeper, request.ask, request.asked_id,
-                               request.asked_boot_id))
+  if (auto answer = MakeHandoverResponse(
+          service.keeper, request.ask, request.asked_id, request.asked_boot_id))
     SendTo(service, request.ask.from.control, std::move(*answer));
 }
 
@@ -270,8 +270,8 @@
     if (const auto old = service.remote.find(holder.id);
         old != service.remote.end() &&
         old->second.holder.boot_id < holder.boot_id)
-      HolderGone(service.keeper, holder.id, old->second.holder.boot_id,
-                 service.kernel->Now());
+      MarkHolderGone(service.keeper, holder.id, old->second.holder.boot_id,
+                     service.kernel->Now());
     service.remote[holder.id] = {holder, service.kernel->Now(), false};
   }
 }
@@ -282,22 +282,23 @@
     return;
   const TimePoint now = service.kernel->Now();
   const Address from = body.from.control;
-  if (const auto* ask = std::get_if<ClaimAsk>(&*message))
+  if (const auto* ask = std::get_if<ClaimRequest>(&*message))
     SendTo(service, from, VoteOn(service.keeper, *ask, now));
   else if (const auto* vote = std::get_if<ClaimVote>(&*message))
     HearVote(service, *vote);
   else if (const auto* release = std::get_if<ClaimRelease>(&*message))
     ReleaseClaim(service.keeper, *release);
-  else if (const auto* done = std::get_if<ClaimDone>(&*message))
+  else if (const auto* done = std::get_if<ClaimCompletion>(&*message))
     RecordOutcome(service.keeper, *done, now);
   else if (const auto* seal = std::get_if<SealRequest>(&*message))
     HearSeal(service, *seal);
-  else if (const auto* answer = std::get_if<SealAnswer>(&*message))
-    TakeHandover(service.keeper, *answer, now);
+  else if (const auto* answer = std::get_if<HandoverResponse>(&*message))
+    ReceiveHandover(service.keeper, *answer, now);
   else if (const auto* notice = std::get_if<EpochNotice>(&*message))
     HearNotice(service, *notice);
   else if (std::holds_alternative<EpochQuery>(*message) &&
-           service.epochs.log.known && service.epochs.log.current.number != 0)
+           service.epochs.log.has_base &&
+           service.epochs.log.current.number != 0)
     SendTo(service, from, NoticeOf(service));
   else if (const auto* offer = std::get_if<HolderOffer>(&*message))
     HearOffer(service, *offer);
@@ -310,8 +311,8 @@
                       StartOf(member.incarnation), member.control};
   if (const auto old = service.local.find(member.id);
       old != service.local.end() && old->second.holder.boot_id < holder.boot_id)
-    HolderGone(service.keeper, member.id, old->second.holder.boot_id,
-               service.kernel->Now());
+    MarkHolderGone(service.keeper, member.id, old->second.holder.boot_id,
+                   service.kernel->Now());
   // One that leaves counts no more at once: two holders that stop within the
   // time of grace would leave keys without a majority.
   if (member.status == MemberStatus::kLeft) {
@@ -326,7 +327,7 @@
   FinishEpochs(service.epochs, folded.through);
   if (folded.reached_end)
     service.end_read_at = folded.read_started;
-  if (!service.epochs.log.known)
+  if (!service.epochs.log.has_base)
     return;
   if (service.epochs.log.current.number != service.newest_epoch) {
     service.newest_epoch = service.epochs.log.current.number;
--- a/src/node/epoch_reader.cc
+++ b/src/node/epoch_reader.cc
@@ -17,7 +17,7 @@
 void BeginEpochs(EpochReader& reader, std::uint64_t first) {
   reader.first_read = first;
   reader.waiting.clear();
-  const bool goes_on = reader.log.known && reader.through + 1 >= first;
+  const bool goes_on = reader.log.has_base && reader.through + 1 >= first;
   if (!goes_on)
     reader.log = ReadEpochs({}, TrimmedBefore(first));
 }
@@ -25,28 +25,28 @@
 void ReadEpoch(EpochReader& reader,
                std::uint64_t offset,
                const EpochRecord& record) {
-  if (reader.log.known) {
+  if (reader.log.has_base) {
     if (offset > reader.through)
       FoldEpoch(reader.log, record);
     return;
   }
   reader.waiting.push_back({offset, record});
   reader.log = ReadEpochs(reader.waiting, TrimmedBefore(reader.first_read));
-  if (reader.log.known)
+  if (reader.log.has_base)
     reader.waiting.clear();
 }
 
 void FinishEpochs(EpochReader& reader, std::uint64_t through) {
-  if (reader.log.known)
+  if (reader.log.has_base)
     reader.through = std::max(reader.through, through);
 }
 
 bool AdoptEpochs(EpochReader& reader,
                  const EpochLog& log,
                  std::uint64_t through) {
-  const bool reads_itself = reader.log.known && reader.first_read != 0;
-  if (!log.known || reads_itself ||
-      (reader.log.known && through <= reader.through))
+  const bool reads_itself = reader.log.has_base && reader.first_read != 0;
+  if (!log.has_base || reads_itself ||
+      (reader.log.has_base && through <= reader.through))
     return false;
   // Records between `through` and the first one read here are unknown.
   if (reader.first_read != 0 && through + 1 < reader.first_read)
--- a/tests/claims/world.h
+++ b/tests/claims/world.h
@@ -16,36 +16,36 @@
 
 #include "teaselspread/claims.h"
 
-namespace teaselspread::world {
+namespace teaselspread::simulation {
 
 using Ms = std::chrono::milliseconds;
 
 struct Faults {
-  bool on = true;
+  bool enabled = true;
   double loss = 0.03;
-  double repeat = 0.03;
-  double late = 0.02;
+  double duplicate = 0.03;
+  double delay = 0.02;
   // Share of looks at another node that take it for dead.
-  double misjudged = 0.01;
+  double false_death = 0.01;
 };
 
 // Few or many losses, late messages and wrong views, by the seed.
 inline Faults FaultsOf(std::uint64_t seed) {
   Faults faults;
   faults.loss = std::array{0.02, 0.1, 0.3}.at(seed % 3);
-  faults.late = std::array{0.01, 0.1}.at(seed / 3 % 2);
-  faults.misjudged = std::array{0.0, 0.005, 0.05}.at(seed / 6 % 3);
+  faults.delay = std::array{0.01, 0.1}.at(seed / 3 % 2);
+  faults.false_death = std::array{0.0, 0.005, 0.05}.at(seed / 6 % 3);
   return faults;
 }
 
 struct Node {
   ClaimKeeper keeper;
   EpochLog log;
-  std::size_t read = 0;
+  std::size_t next_log_index = 0;
   bool alive = true;
   int side = 0;
   // Cut off from the log, too, while the cut lasts.
-  bool without_log = false;
+  bool cut_off_from_log = false;
   Duration skew{};
   TimePoint paused_until;
   std::uint64_t next_sequence = 1;
@@ -53,10 +53,10 @@
 };
 
 struct Counts {
-  int asked = 0;
+  int requests = 0;
   int executed = 0;
-  int most_of_one_key = 0;
-  int false_not_run = 0;
+  int max_runs_per_key = 0;
+  int wrong_not_run = 0;
   int done = 0;
   int in_progress = 0;
   int unknown = 0;
@@ -66,12 +66,16 @@
   int epochs = 0;
 };
 
-using Message = std::
-    variant<ClaimAsk, ClaimVote, ClaimRelease, ClaimDone, SealAsk, SealAnswer>;
+using Message = std::variant<ClaimRequest,
+                             ClaimVote,
+                             ClaimRelease,
+                             ClaimCompletion,
+                             HandoverRequest,
+                             HandoverResponse>;
 
-class World {
+class Simulation {
  public:
-  World(std::uint64_t seed, Faults faults, int nodes);
+  Simulation(std::uint64_t seed, Faults faults, int nodes);
   Counts Run(int keys, Duration length);
 
  private:
@@ -86,19 +90,20 @@
     }
   };
 
-  bool Chance(double share) {
-    return static_cast<double>(this->rng() % 1000000) < share * 1e6;
+  bool Chance(double probability) {
+    return static_cast<double>(this->rng() % 1000000) < probability * 1e6;
   }
-  Duration Upto(Duration most) {
-    return Duration(this->rng() % static_cast<std::uint64_t>(most.count()));
+  Duration RandomBelow(Duration limit) {
+    return Duration(this->rng() % static_cast<std::uint64_t>(limit.count()));
   }
   [[nodiscard]] TimePoint LocalTime(const Node& node) const {
     return this->now + node.skew;
   }
 
   [[nodiscard]] bool ReachesLog(const Node& node) const {
-    const bool cut = this->cut_until > this->now && node.without_log;
-    return !cut && this->log_down_until <= this->now;
+    const bool is_cut_off =
+        this->partition_until > this->now && node.cut_off_from_log;
+    return !is_cut_off && this->log_down_until <= this->now;
   }
 
   void At(TimePoint at, Action action);
@@ -106,17 +111,18 @@
   void Send(std::size_t from, const Holder& to, const Message& message);
   void Deliver(std::size_t from,
                std::size_t to,
-               const Holder& meant,
+               const Holder& recipient,
                const Message& message);
-  void Ask(std::size_t node, const SealAsks& asks);
+  void SendHandoverRequests(std::size_t index,
+                            const HandoverRequests& requests);
   void Tick(std::size_t index);
   void ReadLog(Node& node, std::size_t index);
   void Propose(Node& node);
   void Boot(std::size_t index);
   void Kill(std::size_t index);
-  void CutInTwo();
-  void Strike();
-  void CallerSends(const ClaimKey& key, const RequestDigest& digest);
+  void PartitionNodes();
+  void InjectFault();
+  void SendFromCaller(const ClaimKey& key, const RequestDigest& digest);
   void Resend(std::size_t index, std::uint64_t sequence);
   void OnVerdict(std::size_t index, ClaimAttempt& attempt);
   void StartRun(std::size_t index, std::uint64_t sequence);
@@ -136,46 +142,46 @@
   std::vector<Node> nodes;
   std::vector<EpochRecord> log;
   TimePoint log_down_until;
-  TimePoint cut_until;
+  TimePoint partition_until;
   std::map<std::string, int> executions;
   Counts counts;
 };
 
 inline ClaimSettings QuickSettings() {
   ClaimSettings settings;
-  settings.key_life = Ms(5000);
-  settings.clock_bound = Ms(100);
+  settings.key_lifetime = Ms(5000);
+  settings.max_clock_skew = Ms(100);
   settings.claim_window = Ms(600);
-  settings.longest_run = Ms(1000);
-  settings.longest_gap = Ms(500);
-  settings.patience = Ms(200);
-  settings.fence = Ms(6000);
+  settings.max_run_time = Ms(1000);
+  settings.max_tick_gap = Ms(500);
+  settings.handover_timeout = Ms(200);
+  settings.fencing_timeout = Ms(6000);
   return settings;
 }
 
-inline World::World(std::uint64_t seed, Faults chosen, int count)
+inline Simulation::Simulation(std::uint64_t seed, Faults chosen, int count)
     : rng(seed), faults(chosen), nodes(static_cast<std::size_t>(count)) {
   for (std::size_t i = 0; i < this->nodes.size(); ++i) {
-    this->nodes[i].skew = this->Upto(Ms(100)) - Ms(50);
+    this->nodes[i].skew = this->RandomBelow(Ms(100)) - Ms(50);
     this->nodes[i].keeper.self.id = "node-" + std::to_string(i);
     this->nodes[i].keeper.self.data_center = "dc-" + std::to_string(i % 3);
     this->Boot(i);
   }
 }
 
-inline std::size_t World::IndexOf(const std::string& id) const {
+inline std::size_t Simulation::IndexOf(const std::string& id) const {
   return std::stoul(id.substr(5));
 }
 
-inline void World::At(TimePoint at, Action action) {
+inline void Simulation::At(TimePoint at, Action action) {
   this->events.push({at, this->next_order++, std::move(action)});
 }
 
 // Runs at the node unless its process has been replaced; a paused one runs it
 // when it wakes.
-inline void World::AtNode(std::size_t index,
-                          Duration after,
-                          const Action& action) {
+inline void Simulation::AtNode(std::size_t index,
+                               Duration after,
+                               const Action& action) {
   const std::uint64_t boot = this->nodes[index].keeper.self.boot_id;
   this->At(this->now + after, [this, index, boot, action] {
     const Node& node = this->nodes[index];
@@ -189,22 +195,23 @@
   });
 }
 
-inline void World::Send(std::size_t from,
-                        const Holder& to,
-                        const Message& message) {
+inline void Simulation::Send(std::size_t from,
+                             const Holder& to,
+                             const Message& message) {
   const std::size_t target = this->IndexOf(to.id);
-  const bool lossy = this->faults.on;
+  const bool lossy = this->faults.enabled;
   if (lossy && this->Chance(this->faults.loss))
     return;
-  const int copies = lossy && this->Chance(this->faults.repeat) ? 2 : 1;
+  const int copies = lossy && this->Chance(this->faults.duplicate) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    Duration delay = Ms(1) + this->Upto(Ms(4));
-    if (lossy && this->Chance(this->faults.late))
-      delay += this->Upto(Ms(4000));
+    Duration delay = Ms(1) + this->RandomBelow(Ms(4));
+    if (lossy && this->Chance(this->faults.delay))
+      delay += this->RandomBelow(Ms(4000));
     this->At(this->now + delay, [this, from, target, to, message] {
-      const bool cut = this->cut_until > this->now &&
-                       this->nodes[from].side != this->nodes[target].side;
-      if (!cut) {
+      const bool is_partitioned =
+          this->partition_until > this->now &&
+          this->nodes[from].side != this->nodes[target].side;
+      if (!is_partitioned) {
         this->AtNode(target, Duration{}, [this, from, target, to, message] {
           this->Deliver(from, target, to, message);
         });
@@ -213,49 +220,51 @@
   }
 }
 
-inline void World::Deliver(std::size_t from,
-                           std::size_t to,
-                           const Holder& meant,
-                           const Message& message) {
+inline void Simulation::Deliver(std::size_t from,
+                                std::size_t to,
+                                const Holder& recipient,
+                                const Message& message) {
   Node& node = this->nodes[to];
   ClaimKeeper& keeper = node.keeper;
   const TimePoint local = this->LocalTime(node);
   const Holder sender = this->nodes[from].keeper.self;
-  if (const auto* ask = std::get_if<ClaimAsk>(&message))
-    this->Send(to, sender, VoteOn(keeper, *ask, local));
+  if (const auto* request = std::get_if<ClaimRequest>(&message))
+    this->Send(to, sender, VoteOn(keeper, *request, local));
   if (const auto* release = std::get_if<ClaimRelease>(&message))
     ReleaseClaim(keeper, *release);
-  if (const auto* done = std::get_if<ClaimDone>(&message))
-    RecordOutcome(keeper, *done, local);
-  if (const auto* ask = std::get_if<SealAsk>(&message)) {
-    this->Ask(to, LearnEpoch(keeper, ask->epoch, local));
-    if (const auto answer = AnswerSeal(keeper, *ask, meant.id, meant.boot_id))
-      this->Send(to, ask->from, *answer);
+  if (const auto* completion = std::get_if<ClaimCompletion>(&message))
+    RecordOutcome(keeper, *completion, local);
+  if (const auto* request = std::get_if<HandoverRequest>(&message)) {
+    this->SendHandoverRequests(to, LearnEpoch(keeper, request->epoch, local));
+    if (const auto response = MakeHandoverResponse(
+            keeper, *request, recipient.id, recipient.boot_id))
+      this->Send(to, request->from, *response);
   }
-  if (const auto* answer = std::get_if<SealAnswer>(&message))
-    TakeHandover(keeper, *answer, local);
+  if (const auto* response = std::get_if<HandoverResponse>(&message))
+    ReceiveHandover(keeper, *response, local);
   if (const auto* vote = std::get_if<ClaimVote>(&message)) {
     const auto found = node.attempts.find(vote->attempt.sequence);
     if (found == node.attempts.end() ||
         found->second.verdict != ClaimVerdict::kPending)
       return;
-    if (TakeVote(found->second, *vote, local) != ClaimVerdict::kPending)
+    if (ReceiveVote(found->second, *vote, local) != ClaimVerdict::kPending)
       this->OnVerdict(to, found->second);
   }
 }
 
-inline void World::Ask(std::size_t index, const SealAsks& asks) {
-  for (const Holder& holder : asks.to)
-    this->Send(index, holder, asks.ask);
+inline void Simulation::SendHandoverRequests(std::size_t index,
+                                             const HandoverRequests& requests) {
+  for (const Holder& holder : requests.recipients)
+    this->Send(index, holder, requests.request);
 }
 
-inline void World::ReadLog(Node& node, std::size_t index) {
+inline void Simulation::ReadLog(Node& node, std::size_t index) {
   if (!this->ReachesLog(node))
     return;
-  while (node.read < this->log.size())
-    FoldEpoch(node.log, this->log[node.read++]);
-  this->Ask(index,
-            LearnEpoch(node.keeper, node.log.current, this->LocalTime(node)));
+  while (node.next_log_index < this->log.size())
+    FoldEpoch(node.log, this->log[node.next_log_index++]);
+  this->SendHandoverRequests(
+      index, LearnEpoch(node.keeper, node.log.current, this->LocalTime(node)));
   LearnActivation(node.keeper, node.log.active.number, this->LocalTime(node));
   ConfirmEpoch(node.keeper, this->LocalTime(node));
   if (WantsActivation(node.keeper, this->LocalTime(node))) {
@@ -264,13 +273,14 @@
 }
 
 // Each node has its own, partly wrong view of who is alive.
-inline void World::Propose(Node& node) {
+inline void Simulation::Propose(Node& node) {
   std::vector<Holder> candidates;
   for (const Node& other : this->nodes) {
-    const bool misjudged =
-        this->faults.on && this->Chance(this->faults.misjudged);
-    const bool unseen = this->cut_until > this->now && other.side != node.side;
-    if (other.alive && !misjudged && !unseen)
+    const bool believed_dead =
+        this->faults.enabled && this->Chance(this->faults.false_death);
+    const bool is_unreachable =
+        this->partition_until > this->now && other.side != node.side;
+    if (other.alive && !believed_dead && !is_unreachable)
       candidates.push_back(other.keeper.self);
   }
   const auto epoch = ProposeEpoch(node.log, candidates, this->rng);
@@ -278,55 +288,55 @@
     this->log.push_back({EpochRecordKind::kPropose, *epoch, {}, 0});
 }
 
-inline void World::Tick(std::size_t index) {
+inline void Simulation::Tick(std::size_t index) {
   Node& node = this->nodes[index];
   this->ReadLog(node, index);
   if (node.log.current.number == 0 || this->Chance(0.1))
     this->Propose(node);
   TickClaims(node.keeper, this->LocalTime(node));
-  this->Ask(index, OpenHandovers(node.keeper));
+  this->SendHandoverRequests(index, OpenHandovers(node.keeper));
   this->AtNode(index, Ms(100), [this, index] { this->Tick(index); });
 }
 
-inline void World::Boot(std::size_t index) {
+inline void Simulation::Boot(std::size_t index) {
   Node& node = this->nodes[index];
   const Holder before = node.keeper.self;
   const Duration skew = node.skew;
   node = Node{};
   node.skew = skew;
-  node.log.known = true;
+  node.log.has_base = true;
   node.keeper.settings = QuickSettings();
   node.keeper.self = before;
   node.keeper.self.boot_id = this->next_boot++;
   TickClaims(node.keeper, this->LocalTime(node));
-  this->AtNode(index, this->Upto(Ms(100)),
+  this->AtNode(index, this->RandomBelow(Ms(100)),
                [this, index] { this->Tick(index); });
   for (std::size_t i = 0; i < this->nodes.size(); ++i) {
-    this->AtNode(i, this->Upto(Ms(1000)), [this, i, before] {
+    this->AtNode(i, this->RandomBelow(Ms(1000)), [this, i, before] {
       Node& other = this->nodes[i];
-      HolderGone(other.keeper, before.id, before.boot_id,
-                 this->LocalTime(other));
+      MarkHolderGone(other.keeper, before.id, before.boot_id,
+                     this->LocalTime(other));
     });
   }
 }
 
-inline void World::Kill(std::size_t index) {
+inline void Simulation::Kill(std::size_t index) {
   if (!this->nodes[index].alive)
     return;
   this->nodes[index].alive = false;
-  this->At(this->now + Ms(50) + this->Upto(Ms(4000)),
+  this->At(this->now + Ms(50) + this->RandomBelow(Ms(4000)),
            [this, index] { this->Boot(index); });
 }
 
-inline void World::CutInTwo() {
+inline void Simulation::PartitionNodes() {
   const bool log_on_one_side = this->Chance(0.7);
   for (Node& node : this->nodes) {
     node.side = static_cast<int>(this->rng() % 2);
-    node.without_log = log_on_one_side && node.side == 1;
+    node.cut_off_from_log = log_on_one_side && node.side == 1;
   }
 }
 
-inline void World::Strike() {
+inline void Simulation::InjectFault() {
   const std::size_t victim = this->rng() % this->nodes.size();
   switch (this->rng() % 6) {
     case 0:
@@ -334,14 +344,15 @@
       this->Kill(victim);
       break;
     case 2:
-      this->nodes[victim].paused_until = this->now + this->Upto(Ms(9000));
+      this->nodes[victim].paused_until =
+          this->now + this->RandomBelow(Ms(9000));
       break;
     case 3:
-      this->cut_until = this->now + this->Upto(Ms(8000));
-      this->CutInTwo();
+      this->partition_until = this->now + this->RandomBelow(Ms(8000));
+      this->PartitionNodes();
       break;
     case 4:
-      this->log_down_until = this->now + this->Upto(Ms(5000));
+      this->log_down_until = this->now + this->RandomBelow(Ms(5000));
       break;
     default:
       for (std::size_t i = 0; i < this->nodes.size(); ++i) {
@@ -349,14 +360,14 @@
           this->Kill(i);
       }
   }
-  this->At(this->now + Ms(300) + this->Upto(Ms(6000)),
-           [this] { this->Strike(); });
+  this->At(this->now + Ms(300) + this->RandomBelow(Ms(6000)),
+           [this] { this->InjectFault(); });
 }
 
-inline void World::CallerSends(const ClaimKey& key,
-                               const RequestDigest& digest) {
+inline void Simulation::SendFromCaller(const ClaimKey& key,
+                                       const RequestDigest& digest) {
   const std::size_t index = this->rng() % this->nodes.size();
-  ++this->counts.asked;
+  ++this->counts.requests;
   this->AtNode(index, Ms(1), [this, index, key, digest] {
     Node& node = this->nodes[index];
     const std::uint64_t sequence = node.next_sequence++;
@@ -372,32 +383,32 @@
   });
 }
 
-inline void World::Resend(std::size_t index, std::uint64_t sequence) {
+inline void Simulation::Resend(std::size_t index, std::uint64_t sequence) {
   Node& node = this->nodes[index];
   ClaimAttempt& attempt = node.attempts.at(sequence);
   if (attempt.verdict != ClaimVerdict::kPending)
     return;
-  if (this->LocalTime(node) - attempt.asked > attempt.window) {
-    GiveUpClaim(attempt);
+  if (this->LocalTime(node) - attempt.requested_at > attempt.window) {
+    AbandonClaim(attempt);
     this->OnVerdict(index, attempt);
     return;
   }
-  this->Broadcast(index, attempt, AskOf(attempt));
+  this->Broadcast(index, attempt, RequestOf(attempt));
   this->AtNode(index, Ms(150),
                [this, index, sequence] { this->Resend(index, sequence); });
 }
 
-inline void World::Broadcast(std::size_t index,
-                             const ClaimAttempt& attempt,
-                             const Message& message) {
+inline void Simulation::Broadcast(std::size_t index,
+                                  const ClaimAttempt& attempt,
+                                  const Message& message) {
   for (const Holder& holder : attempt.epoch.holders)
     this->Send(index, holder, message);
 }
 
-inline void World::OnVerdict(std::size_t index, ClaimAttempt& attempt) {
+inline void Simulation::OnVerdict(std::size_t index, ClaimAttempt& attempt) {
   const std::uint64_t sequence = attempt.id.sequence;
   if (attempt.verdict == ClaimVerdict::kGranted) {
-    this->AtNode(index, this->Upto(Ms(300)),
+    this->AtNode(index, this->RandomBelow(Ms(300)),
                  [this, index, sequence] { this->StartRun(index, sequence); });
     return;
   }
@@ -410,50 +421,53 @@
 }
 
 // Some gatekeepers change their mind (queue full, caller gone) or are late.
-inline void World::StartRun(std::size_t index, std::uint64_t sequence) {
+inline void Simulation::StartRun(std::size_t index, std::uint64_t sequence) {
   Node& node = this->nodes[index];
   const ClaimAttempt& attempt = node.attempts.at(sequence);
-  const bool gives_up = this->faults.on && this->Chance(0.1);
-  if (gives_up || !MayRun(attempt, this->LocalTime(node))) {
+  const bool abandons = this->faults.enabled && this->Chance(0.1);
+  if (abandons || !MayRun(attempt, this->LocalTime(node))) {
     ++this->counts.not_run;
     if (this->executions[attempt.key.text] > 0)
-      ++this->counts.false_not_run;
+      ++this->counts.wrong_not_run;
     this->Broadcast(index, attempt, ReleaseOf(attempt));
     return;
   }
-  this->AtNode(index, this->Upto(Ms(20)),
+  this->AtNode(index, this->RandomBelow(Ms(20)),
                [this, index, sequence] { this->Execute(index, sequence); });
 }
 
-inline void World::Execute(std::size_t index, std::uint64_t sequence) {
+inline void Simulation::Execute(std::size_t index, std::uint64_t sequence) {
   Node& node = this->nodes[index];
   const ClaimAttempt& attempt = node.attempts.at(sequence);
   const int times = ++this->executions[attempt.key.text];
   ++this->counts.executed;
-  this->counts.most_of_one_key = std::max(this->counts.most_of_one_key, times);
-  this->AtNode(index, this->Upto(Ms(100)), [this, index, sequence] {
+  this->counts.max_runs_per_key =
+      std::max(this->counts.max_runs_per_key, times);
+  this->AtNode(index, this->RandomBelow(Ms(100)), [this, index, sequence] {
     Node& runner = this->nodes[index];
     const ClaimAttempt& ran = runner.attempts.at(sequence);
-    this->Broadcast(index, ran,
-                    DoneOf(runner.keeper.settings, ran, {201, "", "ok", true}));
+    this->Broadcast(
+        index, ran,
+        CompletionOf(runner.keeper.settings, ran, {201, "", "ok", true}));
   });
 }
 
-inline Counts World::Run(int keys, Duration length) {
+inline Counts Simulation::Run(int keys, Duration length) {
   this->end = this->now + length;
-  if (this->faults.on)
-    this->At(this->now + this->Upto(Ms(3000)), [this] { this->Strike(); });
+  if (this->faults.enabled)
+    this->At(this->now + this->RandomBelow(Ms(3000)),
+             [this] { this->InjectFault(); });
   for (int i = 0; i < keys; ++i) {
-    const TimePoint first = this->now + Ms(500) + this->Upto(length);
+    const TimePoint first = this->now + Ms(500) + this->RandomBelow(length);
     ClaimKey key{"key-" + std::to_string(i), this->Chance(0.5), first};
     const int sends = 1 + static_cast<int>(this->rng() % 6);
     for (int send = 0; send < sends; ++send) {
       const Duration after =
           send == 0 ? Duration{}
-                    : this->Upto(this->Chance(0.5) ? Ms(30) : Ms(9000));
+                    : this->RandomBelow(this->Chance(0.5) ? Ms(30) : Ms(9000));
       const std::uint64_t body = this->Chance(0.02) ? 2 : 1;
       this->At(first + after, [this, key, body] {
-        this->CallerSends(key, RequestDigest{0, body});
+        this->SendFromCaller(key, RequestDigest{0, body});
       });
     }
   }
@@ -471,6 +485,6 @@
   return this->counts;
 }
 
-}  // namespace teaselspread::world
+}  // namespace teaselspread::simulation
 
 #endif  // TEASELSPREAD_TESTS_CLAIMS_WORLD_H_
--- a/tests/unit/claims_history_test.cc
+++ b/tests/unit/claims_history_test.cc
@@ -9,10 +9,10 @@
 namespace teaselspread {
 namespace {
 
-using world::Counts;
-using world::Faults;
-using world::Ms;
-using world::World;
+using simulation::Counts;
+using simulation::Faults;
+using simulation::Ms;
+using simulation::Simulation;
 
 constexpr int kKeys = 60;
 
@@ -31,10 +31,10 @@
 
 Counts Add(const Counts& a, const Counts& b) {
   Counts sum = a;
-  sum.asked += b.asked;
+  sum.requests += b.requests;
   sum.executed += b.executed;
-  sum.most_of_one_key = std::max(a.most_of_one_key, b.most_of_one_key);
-  sum.false_not_run += b.false_not_run;
+  sum.max_runs_per_key = std::max(a.max_runs_per_key, b.max_runs_per_key);
+  sum.wrong_not_run += b.wrong_not_run;
   sum.done += b.done;
   sum.in_progress += b.in_progress;
   sum.unknown += b.unknown;
@@ -56,18 +56,18 @@
   seeds.insert(seeds.end(), kKnownSeeds.begin(), kKnownSeeds.end());
   Counts sum;
   for (const std::uint64_t seed : seeds) {
-    World world(seed, world::FaultsOf(seed), NodesOf(seed));
-    const Counts counts = world.Run(kKeys, Ms(40000));
-    cr_expect(counts.most_of_one_key <= 1, "seed %d: a key ran %d times",
-              static_cast<int>(seed), counts.most_of_one_key);
-    cr_expect(counts.false_not_run == 0, "seed %d: not run, yet it ran",
+    Simulation sim(seed, simulation::FaultsOf(seed), NodesOf(seed));
+    const Counts counts = sim.Run(kKeys, Ms(40000));
+    cr_expect(counts.max_runs_per_key <= 1, "seed %d: a key ran %d times",
+              static_cast<int>(seed), counts.max_runs_per_key);
+    cr_expect(counts.wrong_not_run == 0, "seed %d: not run, yet it ran",
               static_cast<int>(seed));
     sum = Add(sum, counts);
   }
   cr_log_info(
       "asked %d executed %d done %d in-progress %d unknown %d unproven "
       "%d mismatch %d not-run %d epochs %d",
-      sum.asked, sum.executed, sum.done, sum.in_progress, sum.unknown,
+      sum.requests, sum.executed, sum.done, sum.in_progress, sum.unknown,
       sum.unproven, sum.mismatch, sum.not_run, sum.epochs);
   // The faults must leave enough runs to be worth the check.
   cr_assert(sum.executed > static_cast<int>(kSeeds) * kKeys / 4);
@@ -77,11 +77,11 @@
 // pass the test above and serve nobody.
 Test(claims_history, every_key_runs_once_without_faults) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-    World world(seed, Faults{false, 0, 0, 0, 0}, NodesOf(seed));
-    const Counts counts = world.Run(kKeys, Ms(20000));
+    Simulation sim(seed, Faults{false, 0, 0, 0, 0}, NodesOf(seed));
+    const Counts counts = sim.Run(kKeys, Ms(20000));
     cr_assert(counts.executed == kKeys, "seed %d: %d of %d ran",
               static_cast<int>(seed), counts.executed, kKeys);
-    cr_assert(counts.most_of_one_key == 1);
+    cr_assert(counts.max_runs_per_key == 1);
     cr_assert(counts.unproven == 0);
   }
 }
--- a/tests/unit/claims_test.cc
+++ b/tests/unit/claims_test.cc
@@ -14,7 +14,7 @@
 
 // Late enough that restarts, which are numbered by the clock, are valid.
 const TimePoint kStart{std::chrono::hours(24 * 365 * 50)};
-const RequestDigest kBody{0, 1};
+const RequestDigest kBodyDigest{0, 1};
 
 Holder MakeHolder(int i, std::uint64_t boot_id = 1) {
   return {
@@ -36,7 +36,9 @@
   return epoch;
 }
 
-void Tell(ClaimKeeper& keeper, const ClaimEpoch& epoch, TimePoint now) {
+void ActivateEpoch(ClaimKeeper& keeper,
+                   const ClaimEpoch& epoch,
+                   TimePoint now) {
   (void)LearnEpoch(keeper, epoch, now);
   LearnActivation(keeper, epoch.number, now);
   ConfirmEpoch(keeper, now);
@@ -48,53 +50,53 @@
   for (int i = 0; i < count; ++i) {
     ClaimKeeper& keeper = keepers[static_cast<std::size_t>(i)];
     keeper.self = MakeHolder(i);
-    Tell(keeper, FirstEpoch(), kStart);
+    ActivateEpoch(keeper, FirstEpoch(), kStart);
   }
   return keepers;
 }
 
-ClaimAttempt Begin(const ClaimKeeper& keeper,
-                   std::uint64_t sequence,
-                   const std::string& key,
-                   const RequestDigest& digest,
-                   TimePoint now) {
+ClaimAttempt BeginAttempt(const ClaimKeeper& keeper,
+                          std::uint64_t sequence,
+                          const std::string& key,
+                          const RequestDigest& digest,
+                          TimePoint now) {
   return BeginClaim(keeper, {keeper.self.id, keeper.self.boot_id, sequence},
                     {key, false, TimePoint{}}, digest, now);
 }
 
-ClaimVerdict AskAll(std::vector<ClaimKeeper>& keepers,
-                    ClaimAttempt& attempt,
-                    TimePoint now) {
+ClaimVerdict CollectVotes(std::vector<ClaimKeeper>& keepers,
+                          ClaimAttempt& attempt,
+                          TimePoint now) {
   for (ClaimKeeper& keeper : keepers)
-    TakeVote(attempt, VoteOn(keeper, AskOf(attempt), now), now);
+    ReceiveVote(attempt, VoteOn(keeper, RequestOf(attempt), now), now);
   return attempt.verdict;
 }
 
 // A clerk's program sends the same key again: while the first one runs, after
 // its answer was lost, and by mistake for another filing.
-Test(claims, a_repeat_gets_what_is_known_of_the_first) {
+Test(claims, a_retry_gets_the_state_of_the_first_attempt) {
   auto keepers = MakeKeepers(3);
-  ClaimAttempt first = Begin(keepers[0], 1, "k", kBody, kStart);
-  cr_assert(AskAll(keepers, first, kStart) == ClaimVerdict::kGranted);
+  ClaimAttempt first = BeginAttempt(keepers[0], 1, "k", kBodyDigest, kStart);
+  cr_assert(CollectVotes(keepers, first, kStart) == ClaimVerdict::kGranted);
   cr_assert(MayRun(first, kStart));
-  ClaimAttempt repeat = Begin(keepers[1], 1, "k", kBody, kStart);
-  cr_assert(AskAll(keepers, repeat, kStart) == ClaimVerdict::kInProgress);
+  ClaimAttempt retry = BeginAttempt(keepers[1], 1, "k", kBodyDigest, kStart);
+  cr_assert(CollectVotes(keepers, retry, kStart) == ClaimVerdict::kInProgress);
   const TimePoint later = kStart + Minutes(1);
   for (TimePoint t = kStart; t <= later; t += Ms(500)) {
     for (ClaimKeeper& keeper : keepers)
       TickClaims(keeper, t);
   }
-  ClaimAttempt late = Begin(keepers[2], 1, "k", kBody, later);
-  cr_assert(AskAll(keepers, late, later) == ClaimVerdict::kUnknown);
-  const ClaimDone done =
-      DoneOf(keepers[0].settings, first, {201, "text/plain", "no. 7", true});
+  ClaimAttempt late = BeginAttempt(keepers[2], 1, "k", kBodyDigest, later);
+  cr_assert(CollectVotes(keepers, late, later) == ClaimVerdict::kUnknown);
+  const ClaimCompletion completion = CompletionOf(
+      keepers[0].settings, first, {201, "text/plain", "no. 7", true});
   for (ClaimKeeper& keeper : keepers)
-    RecordOutcome(keeper, done, later);
-  ClaimAttempt again = Begin(keepers[1], 2, "k", kBody, later);
-  cr_assert(AskAll(keepers, again, later) == ClaimVerdict::kDone);
+    RecordOutcome(keeper, completion, later);
+  ClaimAttempt again = BeginAttempt(keepers[1], 2, "k", kBodyDigest, later);
+  cr_assert(CollectVotes(keepers, again, later) == ClaimVerdict::kDone);
   cr_assert(again.outcome.body == "no. 7");
-  ClaimAttempt other = Begin(keepers[1], 3, "k", {0, 2}, later);
-  cr_assert(AskAll(keepers, other, later) == ClaimVerdict::kMismatch);
+  ClaimAttempt other = BeginAttempt(keepers[1], 3, "k", {0, 2}, later);
+  cr_assert(CollectVotes(keepers, other, later) == ClaimVerdict::kMismatch);
   cr_assert(ErrorOf(ClaimVerdict::kMismatch) == ErrorKind::kKeyMismatch);
 }
 
@@ -102,54 +104,54 @@
 // has to run, and the first one's ask, late on its way, must not block it.
 Test(claims, a_released_key_can_be_claimed_again) {
   auto keepers = MakeKeepers(3);
-  ClaimAttempt first = Begin(keepers[0], 1, "k", kBody, kStart);
-  cr_assert(AskAll(keepers, first, kStart) == ClaimVerdict::kGranted);
+  ClaimAttempt first = BeginAttempt(keepers[0], 1, "k", kBodyDigest, kStart);
+  cr_assert(CollectVotes(keepers, first, kStart) == ClaimVerdict::kGranted);
   cr_assert(!MayRun(first, kStart + Ms(5001)), "too late to run");
   for (ClaimKeeper& keeper : keepers)
     ReleaseClaim(keeper, ReleaseOf(first));
-  cr_assert(VoteOn(keepers[0], AskOf(first), kStart).kind ==
+  cr_assert(VoteOn(keepers[0], RequestOf(first), kStart).kind ==
             VoteKind::kAbstain);
-  ClaimAttempt second = Begin(keepers[1], 1, "k", kBody, kStart);
-  cr_assert(AskAll(keepers, second, kStart) == ClaimVerdict::kGranted);
+  ClaimAttempt second = BeginAttempt(keepers[1], 1, "k", kBodyDigest, kStart);
+  cr_assert(CollectVotes(keepers, second, kStart) == ClaimVerdict::kGranted);
 }
 
 // A holder's VM is replaced. The two that are left hand over what they have, so
 // that filings go on at once and old keys are still known.
 Test(claims, one_lost_holder_is_replaced_without_a_gap) {
   auto keepers = MakeKeepers(4);
-  ClaimAttempt first = Begin(keepers[0], 1, "old", kBody, kStart);
-  (void)AskAll(keepers, first, kStart);
+  ClaimAttempt first = BeginAttempt(keepers[0], 1, "old", kBodyDigest, kStart);
+  (void)CollectVotes(keepers, first, kStart);
   EpochLog log{true, FirstEpoch(), FirstEpoch()};
   Rng rng(1);
   const std::vector<Holder> alive = {MakeHolder(0), MakeHolder(1),
                                      MakeHolder(3)};
   const ClaimEpoch next = *ProposeEpoch(log, alive, rng);
-  std::vector<SealAsks> asks;
+  std::vector<HandoverRequests> requests;
   for (const std::size_t i : {0, 1, 3})
-    asks.push_back(LearnEpoch(keepers[i], next, kStart));
+    requests.push_back(LearnEpoch(keepers[i], next, kStart));
   std::size_t at = 0;
   for (const std::size_t i : {0, 1, 3}) {
-    for (const Holder& to : asks[at++].to) {
+    for (const Holder& to : requests[at++].recipients) {
       if (to.id == "node-2")
         continue;
       const auto& asked = keepers[to.id == "node-0" ? 0 : 1];
-      const auto answer =
-          AnswerSeal(asked, {next, keepers[i].self}, to.id, to.boot_id);
-      TakeHandover(keepers[i], *answer, kStart);
+      const auto response = MakeHandoverResponse(asked, {next, keepers[i].self},
+                                                 to.id, to.boot_id);
+      ReceiveHandover(keepers[i], *response, kStart);
     }
     cr_assert(WantsActivation(keepers[i], kStart));
   }
   for (const std::size_t i : {0, 1, 3})
-    Tell(keepers[i], next, kStart);
-  ClaimAttempt fresh = Begin(keepers[3], 1, "new", kBody, kStart);
-  cr_assert(AskAll(keepers, fresh, kStart) == ClaimVerdict::kGranted);
-  ClaimAttempt repeat = Begin(keepers[3], 2, "old", kBody, kStart);
-  cr_assert(AskAll(keepers, repeat, kStart) == ClaimVerdict::kInProgress);
+    ActivateEpoch(keepers[i], next, kStart);
+  ClaimAttempt fresh = BeginAttempt(keepers[3], 1, "new", kBodyDigest, kStart);
+  cr_assert(CollectVotes(keepers, fresh, kStart) == ClaimVerdict::kGranted);
+  ClaimAttempt retry = BeginAttempt(keepers[3], 2, "old", kBodyDigest, kStart);
+  cr_assert(CollectVotes(keepers, retry, kStart) == ClaimVerdict::kInProgress);
 }
 
 // Two of three holders restart and have forgotten. A key that may have run is
 // not vouched for; one that was issued after the loss is.
-Test(claims, after_a_loss_only_young_keys_are_vouched_for) {
+Test(claims, after_a_loss_only_newer_keys_are_granted) {
   ClaimKeeper keeper;
   keeper.self = MakeHolder(0, 2);
   ClaimEpoch next = FirstEpoch();
@@ -157,14 +159,14 @@
   next.holders = {MakeHolder(0, 2), MakeHolder(1, 2), MakeHolder(2)};
   next.previous_number = 1;
   next.previous = MakeHolders(3);
-  Tell(keeper, next, kStart);
-  HolderGone(keeper, "node-1", 1, kStart);
+  ActivateEpoch(keeper, next, kStart);
+  MarkHolderGone(keeper, "node-1", 1, kStart);
   const TimePoint later = kStart + Ms(2500);
   TickClaims(keeper, later);
   cr_assert(keeper.state == HolderState::kVoting);
   const auto vote = [&](const ClaimKey& key, TimePoint now) {
     ConfirmEpoch(keeper, now);
-    return VoteOn(keeper, {2, {"g", 1, 1}, key, kBody}, now).kind;
+    return VoteOn(keeper, {2, {"g", 1, 1}, key, kBodyDigest}, now).kind;
   };
   cr_assert(vote({"opaque", false, {}}, later) == VoteKind::kAbstain);
   cr_assert(vote({"old", true, kStart}, later) == VoteKind::kAbstain);
@@ -179,8 +181,8 @@
 // A holder is cut off from the log and may have been replaced.
 Test(claims, a_holder_that_cannot_read_the_log_stops_voting) {
   auto keepers = MakeKeepers(3);
-  const ClaimAsk ask{1, {"g", 1, 1}, {"k", false, {}}, kBody};
-  cr_assert(VoteOn(keepers[0], ask, kStart + Minutes(16)).kind ==
+  const ClaimRequest request{1, {"g", 1, 1}, {"k", false, {}}, kBodyDigest};
+  cr_assert(VoteOn(keepers[0], request, kStart + Minutes(16)).kind ==
             VoteKind::kAbstain);
 }
 
@@ -214,7 +216,7 @@
         records.begin() + static_cast<std::ptrdiff_t>(trimmed), records.end());
     cr_assert(ReadEpochs(rest, trimmed).current == winner);
   }
-  cr_assert(!ReadEpochs({}, 9).known);
+  cr_assert(!ReadEpochs({}, 9).has_base);
 }
 
 // A whole data centre dies and comes back. Two holders are left in one of the
@@ -241,10 +243,10 @@
   Rng rng(1);
   const auto record = ProposeRestart(MakeHolders(3), kStart, rng);
   EpochLog log = ReadEpochs({}, 9);
-  cr_assert(!log.known);
+  cr_assert(!log.has_base);
   const std::vector<LoggedEpoch> records = {{9, *record}};
   log = ReadEpochs(records, 9);
-  cr_assert(log.known && log.current.holders.size() == 3);
+  cr_assert(log.has_base && log.current.holders.size() == 3);
   cr_assert(log.active.number == 0, "nothing is active yet");
   ClaimKeeper keeper;
   keeper.self = MakeHolder(0);
--- a/tests/unit/epoch_reader_test.cc
+++ b/tests/unit/epoch_reader_test.cc
@@ -35,7 +35,7 @@
   BeginEpochs(reader, 1);
   ReadEpoch(reader, 3, Propose(kFirst, {}));
   FinishEpochs(reader, 5);
-  cr_assert(reader.log.known);
+  cr_assert(reader.log.has_base);
   cr_assert(reader.log.current.number == 1);
   cr_assert(reader.through == 5);
 }
@@ -47,9 +47,9 @@
   EpochReader reader;
   BeginEpochs(reader, 10);
   cr_assert(!AdoptEpochs(reader, {true, kFirst, kFirst}, 7));
-  cr_assert(!reader.log.known);
+  cr_assert(!reader.log.has_base);
   cr_assert(AdoptEpochs(reader, {true, kFirst, kFirst}, 9));
-  cr_assert(reader.log.known);
+  cr_assert(reader.log.has_base);
 }
 
 // The peer's word reaches back to the first record read here, but a newer epoch
@@ -58,7 +58,7 @@
   EpochReader reader;
   BeginEpochs(reader, 10);
   ReadEpoch(reader, 12, Propose(kSecond, kFirst));
-  cr_assert(!reader.log.known);
+  cr_assert(!reader.log.has_base);
   cr_assert(AdoptEpochs(reader, {true, kFirst, kFirst}, 11));
   cr_assert(reader.log.current.number == 2);
 }
@@ -71,9 +71,9 @@
   ReadEpoch(reader, 3, Propose(kFirst, {}));
   FinishEpochs(reader, 5);
   BeginEpochs(reader, 6);
-  cr_assert(reader.log.known);
+  cr_assert(reader.log.has_base);
   BeginEpochs(reader, 9);
-  cr_assert(!reader.log.known);
+  cr_assert(!reader.log.has_base);
 }
 
 }  // namespace
--- a/tests/unit/membership_test.cc
+++ b/tests/unit/membership_test.cc
@@ -94,7 +94,7 @@
 
 // A VM dies without a word. Its upstream stays in every node's list until the
 // failure detector takes it out, and calls to it fail meanwhile.
-Test(membership, a_dead_node_is_found_and_no_other_is_blamed) {
+Test(membership, a_dead_node_is_detected_and_no_other_is_accused) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Network net = MakeJoinedNetwork(50, {.loss = 0.05}, seed);
     std::set<std::string> dead;
@@ -134,7 +134,7 @@
 // A VM stands still for a while, as a live migration does. When it goes on, all
 // its timers are over at once while the answers lie unread: it would accuse
 // everyone, and healthy upstreams would drop out of every list.
-Test(membership, a_paused_node_blames_nobody_and_publishes_nothing_stale) {
+Test(membership, a_paused_node_accuses_nobody_and_recovers) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Network net = MakeJoinedNetwork(20, {.loss = 0.02}, seed);
     std::set<std::string> dead;
@@ -169,7 +169,7 @@
 // A switch cuts a data centre in two for a minute. Both halves take the other
 // for dead and stop speaking to it; without a call to the dead they would stay
 // apart for good after the cut heals.
-Test(membership, two_halves_find_each_other_after_a_cut) {
+Test(membership, two_halves_merge_after_a_partition) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Network net = MakeJoinedNetwork(40, {.loss = 0.02}, seed);
     for (std::size_t i = 0; i < 20; ++i)
@@ -188,7 +188,7 @@
 
 // Frames of one node arrive late, twice and in the wrong order. If an old one
 // won, an upstream that left would be given work again.
-Test(membership, late_and_repeated_news_change_nothing) {
+Test(membership, late_and_duplicate_updates_change_nothing) {
   Rng rng(1);
   Member self;
   self.id = "vm-0";
