--- a/include/teaselspread/member.h
+++ b/include/teaselspread/member.h
@@ -1,4 +1,4 @@
-// What the nodes of one data centre know of each other.
+// State that the nodes of one data centre share about each other.
 #ifndef TEASELSPREAD_MEMBER_H_
 #define TEASELSPREAD_MEMBER_H_
 
@@ -17,21 +17,21 @@
 [[nodiscard]] std::string_view NameOf(UpstreamState state);
 [[nodiscard]] std::string_view NameOf(MemberStatus status);
 
-// What an upstream said of itself to the node beside it.
+// State that an upstream reported to the node beside it.
 struct Announcement {
   std::string service;
   std::string version;
   UpstreamState state = UpstreamState::kNone;
   int slots = 0;
   int connections = 0;
-  // When it became ready: slow start counts from here.
+  // When the upstream became ready; slow start is measured from here.
   TimePoint ready_since;
 
   bool operator==(const Announcement&) const = default;
 };
 
-// One node, as its last message described it. The highest incarnation wins; a
-// restart has a higher one.
+// One node, as last reported. The highest incarnation wins; a restart always
+// has a higher one.
 struct Member {
   // The VM's name, unique in the deployment.
   std::string id;
--- a/src/membership/base.cc
+++ b/src/membership/base.cc
@@ -81,7 +81,7 @@
     return picked;
   std::uniform_int_distribution<std::size_t> random_index(
       0, state.probe_order.size() - 1);
-  // Dead ids stay in the order until the next round: try a few more times.
+  // Dead members stay in the order until the next round, so make extra tries.
   const std::size_t tries = 4 * count + state.probe_order.size() % 16;
   for (std::size_t i = 0; i < tries && picked.size() < count; ++i) {
     const auto found = state.members.find(state.probe_order[random_index(rng)]);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -12,11 +12,11 @@
 
 using membership::CallContext;
 
-// After a pause the timers say that members are silent, while their answers
-// wait unread in the socket. Acting on the timers would have healthy members
-// declared dead (seen as a burst of refutations after each long pause). So
-// probes are dropped, suspicions get the lost time back, and nothing is said of
-// others until one of them has been heard.
+// After a pause all timers have expired while the members' responses are still
+// unread in the socket. Acting on the timers would declare healthy members dead
+// and cause a burst of refutations. So probes are dropped, suspicions are
+// extended by the lost time, and nobody is accused until the state of another
+// member has been merged.
 void HandlePause(CallContext& call, Duration lateness) {
   Membership& state = call.state;
   membership::Count(state, MembershipCount::kPauseDetected);
@@ -35,7 +35,8 @@
   if (peers.empty())
     return;
   state.resync_until = call.now + state.settings.max_resync_time;
-  // Others may hold an accusation by now: answer it before it is heard.
+  // Others may have accused this node by now: refute it before the accusation
+  // arrives.
   if (!state.leaving)
     membership::Refute(call, state.self.incarnation);
   for (const MemberEntry* peer : peers)
@@ -66,9 +67,9 @@
     membership::SendExchange(call, seed, true, kAllBuckets);
 }
 
-// A member taken for dead is not probed, so two halves of a healed cut would
-// never speak again. One of the dead is pinged now and then with the accusation
-// in front, which it can refute.
+// Dead members are not probed, so the two sides of a healed network partition
+// would never reconnect. This pings a random dead member and puts the
+// accusation first, so that the member can refute it.
 void PingDeadMember(CallContext& call) {
   std::vector<const MemberEntry*> dead;
   for (const auto& [id, entry] : call.state.members) {
@@ -184,7 +185,7 @@
   void operator()(const StateDigest& message) const {
     CompareDigest(this->call, message);
   }
-  // Kinds of the spread module.
+  // Messages of the spread module are not handled here.
   template <class Other>
   void operator()(const Other& /*message*/) const {}
 };
@@ -277,7 +278,7 @@
   membership::QueueRumour(call,
                           Accusation{state.self.id, state.self.incarnation,
                                      MemberStatus::kLeft, state.self.id});
-  // The process may end soon: several rounds' worth of rumours go out now.
+  // The process may end soon, so send several rounds of gossip now.
   constexpr std::size_t kRounds = 3;
   membership::GossipNow(call, kRounds * state.settings.gossip_fan_out);
   return FinishCall(call);
--- a/src/membership/merge.cc
+++ b/src/membership/merge.cc
@@ -7,15 +7,15 @@
 namespace teaselspread::membership {
 namespace {
 
-// Without suspects there is only the rare entry to forget.
+// Without suspects, a sweep only removes expired rumours and old dead members.
 constexpr Duration kSweepInterval = std::chrono::seconds(5);
 
 void ScheduleSweep(Membership& state, TimePoint deadline) {
   state.next_sweep = std::min(state.next_sweep, deadline);
 }
 
-// Between a suspicion's longest and shortest time, by how many agree: one
-// accuser may itself be the faulty one.
+// Decreases from the maximum to the minimum as more members confirm the
+// suspicion, since a single accuser may itself be faulty.
 Duration SuspicionTimeout(const Membership& state, std::size_t accusers) {
   const MembershipSettings& settings = state.settings;
   const std::size_t live = CountLive(state);
@@ -23,7 +23,7 @@
   const double min_periods =
       settings.suspicion_factor * std::max(1.0, std::log10(members));
   const double max_periods = min_periods * settings.suspicion_max_factor;
-  // Others that could confirm: neither the accuser nor the accused.
+  // Live members other than the accused and the first accuser.
   const std::size_t possible_confirmers = live > 1 ? live - 1 : 0;
   const auto wanted_confirmations = static_cast<double>(
       std::min(settings.confirmations, possible_confirmers));
@@ -59,9 +59,9 @@
   QueueRumour(call, accusation);
 }
 
-// An exchange may bring a death that is long refuted elsewhere. Taken as a
-// suspicion it can still be refuted; taken as a death it would bounce between
-// nodes. This node repeats the suspicion as its own.
+// An exchange may contain a death that was refuted elsewhere long ago. Merged
+// as a suspicion it can still be refuted; merged as a death it would keep
+// circulating between nodes. This node is recorded as the accuser.
 void ApplyExchangedStatus(CallContext& call, const Member& update) {
   MemberStatus status = update.status;
   if (status == MemberStatus::kDead)
@@ -105,13 +105,13 @@
   if (!was_live) {
     ++call.state.live_count;
     AddToOrder(call, entry);
-    // A cut may have healed: much else may have been missed.
+    // A partition may have healed, so many other updates may have been missed.
     ScheduleEarlyComparison(call.state, call.now);
   }
   call.actions.changes.push_back(entry.member);
 }
 
-// Declares the suspect dead when its time is over.
+// Declares the suspect dead once its deadline has passed.
 void TickSuspicion(CallContext& call, MemberEntry& entry) {
   if (entry.suspect_deadline > call.now) {
     ScheduleSweep(call.state, entry.suspect_deadline);
@@ -139,8 +139,9 @@
 void Refute(CallContext& call, std::uint64_t accused_incarnation) {
   Member& self = call.state.self;
   if (StartOf(accused_incarnation) > StartOf(self.incarnation)) {
-    // The clock went back over a restart. A mere revision of the known start
-    // would let others believe that this node still holds what it held then.
+    // The clock was set back across a restart. Raising only the revision of the
+    // known start would let others assume that this node still holds the
+    // version from before the restart.
     self.incarnation = (StartOf(accused_incarnation) + 1) << kRevisionBits;
   } else {
     self.incarnation = std::max(self.incarnation, accused_incarnation) + 1;
--- a/src/membership/probe.cc
+++ b/src/membership/probe.cc
@@ -14,7 +14,7 @@
   state.health_score = std::max(0, state.health_score - 1);
 }
 
-// The next live member in this round; nullptr when there is none.
+// The next live member in probing order; nullptr if there is none.
 MemberEntry* NextProbeTarget(CallContext& call) {
   Membership& state = call.state;
   for (int round = 0; round < 2; ++round) {
@@ -76,8 +76,8 @@
   }
 }
 
-// Helpers that could not reach the target said so; helpers that stayed silent
-// speak against this node's own links, so it doubts itself.
+// Helpers that cannot reach the target send a nack. A missing nack points to a
+// fault of this node's own network links, so its health score gets worse.
 void HandleProbeFailure(CallContext& call, const Probe& probe) {
   Membership& state = call.state;
   Count(state, MembershipCount::kProbeFailed);
@@ -152,8 +152,8 @@
     return;
   }
   std::vector<Rumour> rumours = TakeRumours(call, ping.from.id);
-  // The sender may have missed an earlier refutation, whose rumour is spent by
-  // now; it would hold this node for dead until the next full comparison.
+  // The sender may have missed an earlier refutation that is no longer
+  // retransmitted; it would regard this node as dead until the next comparison.
   if (Accuses(ping.rumours, call.state.self.id))
     rumours.emplace_back(call.state.self);
   Send(call, ping.from.control,
@@ -189,8 +189,8 @@
   if (!state.probe || state.probe->sequence != ack.sequence ||
       state.probe->target != ack.target)
     return;
-  // Age counts from before the question, so a slow answer never makes the
-  // peer's version look newer than it was.
+  // The age is subtracted from the time of sending, so that a slow response
+  // never makes the peer's version look fresher than it was.
   if (ack.from.id == ack.target && ack.from.log_age_ms != kAgeUnknown &&
       !call.actions.versions.empty()) {
     call.actions.versions.back().fresh_as_of =
--- a/src/membership/rumours.cc
+++ b/src/membership/rumours.cc
@@ -8,11 +8,12 @@
 namespace teaselspread::membership {
 namespace {
 
-// Leaves room for the frame header, the sender, a probe's target, the notice to
-// an accused receiver and an own entry.
+// Reserves 400 bytes for the frame header, the sender, a probe's target, the
+// notice to an accused receiver and this node's own entry.
 constexpr std::size_t kMaxRumourBytes = kMaxDatagramBytes - 400;
 
-// More than these never fit that room; a herd's queue is much longer.
+// No more rumours than this fit into kMaxRumourBytes. It bounds the sorting, as
+// the queue is much longer when many nodes return at once.
 constexpr std::size_t kMaxRumours = 24;
 constexpr double kMinRumourBytes = 30;
 
@@ -42,9 +43,10 @@
   state.rumour_tokens = std::min(burst, state.rumour_tokens + seconds * rate);
 }
 
-// What must be known within seconds goes before what may wait. In one queue, an
-// upstream that leaves stood behind the evidence of moves and was sent work for
-// seven seconds more (40 rows a second, 100 nodes).
+// Urgent rumours are sent before those that may wait. Without priorities, the
+// announcement of a leaving upstream was queued behind the evidence of moves,
+// and it received requests for seven seconds more (40 rows a second, 100
+// nodes).
 enum class RumourPriority : std::uint8_t { kMembers, kVerdicts, kEvidence };
 
 RumourPriority RumourPriorityOf(const Rumour& rumour) {
@@ -56,8 +58,7 @@
   return is_final ? RumourPriority::kVerdicts : RumourPriority::kEvidence;
 }
 
-// The rows of the queue to send next: the urgent first, of those the least
-// sent.
+// The queue's rows to send next: by priority, then the least often sent first.
 std::vector<std::map<std::string, QueuedRumour>::iterator> RowsInSendOrder(
     Membership& state) {
   std::vector<std::map<std::string, QueuedRumour>::iterator> rows;
@@ -75,8 +76,9 @@
   return rows;
 }
 
-// Tells a member that it is accused, before anything else: it can then refute
-// with its next message, while a rumour among others might reach it too late.
+// Notifies a member that it is accused (Lifeguard's buddy system), ahead of all
+// rumours, so that it can refute with its next message. An ordinary rumour
+// might reach it too late.
 void AddBuddyNotice(const Membership& state,
                     const std::string& to,
                     std::vector<Rumour>& taken) {
--- a/tests/unit/membership_test.cc
+++ b/tests/unit/membership_test.cc
@@ -10,7 +10,7 @@
 namespace teaselspread::test {
 namespace {
 
-// A running network of `count` nodes that all know each other.
+// A running network of `count` nodes that have all joined.
 Network MakeJoinedNetwork(std::size_t count,
                           NetworkSettings settings,
                           std::uint64_t seed) {
@@ -44,8 +44,8 @@
   }
 }
 
-// An upstream drains for its planned stop, but callers' nodes hear of it late
-// and go on sending it work; the caller sees refusals or a cut answer.
+// An upstream drains for a planned stop, but callers' nodes learn of it late
+// and keep sending requests: callers get refusals or truncated responses.
 Test(membership, leaving_is_known_to_200_nodes_within_3_seconds) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Network net = MakeJoinedNetwork(200, {.loss = 0.05}, seed);
@@ -63,8 +63,8 @@
 }
 
 // Many moves run and 40 rows of evidence change each second, more than the
-// rumours' budget carries. An upstream that leaves then stood in the queue
-// behind the rows, and callers' nodes sent it work for seven seconds more.
+// rumour budget allows. Queued behind them, the announcement of a leaving
+// upstream came late, and it received requests for seven seconds more.
 Test(membership, leaving_is_known_in_3_seconds_however_much_evidence_waits) {
   constexpr int kNodes = 100;
   constexpr int kRows = 40;
@@ -92,8 +92,8 @@
   }
 }
 
-// A VM dies without a word. Its upstream stays in every node's list until the
-// failure detector takes it out, and calls to it fail meanwhile.
+// A VM crashes. Its upstream stays in every node's list, and requests to it
+// fail, until the failure detector removes it.
 Test(membership, a_dead_node_is_detected_and_no_other_is_accused) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Network net = MakeJoinedNetwork(50, {.loss = 0.05}, seed);
@@ -113,8 +113,8 @@
   }
 }
 
-// A VM comes back with its clock an hour behind. All know a later start of it,
-// and its news would lose against the entry of the dead one for an hour.
+// A VM restarts with its clock an hour behind. The others hold an entry with a
+// later start, against which its updates would lose for an hour.
 Test(membership, a_restart_with_its_clock_set_back_is_known_as_a_restart) {
   Network net = MakeJoinedNetwork(20, {.loss = 0.05}, 1);
   const std::uint64_t before = net.nodes[4]->membership.self.incarnation;
@@ -131,9 +131,9 @@
   cr_assert(StartOf(restarted.spread.incarnation) > StartOf(before));
 }
 
-// A VM stands still for a while, as a live migration does. When it goes on, all
-// its timers are over at once while the answers lie unread: it would accuse
-// everyone, and healthy upstreams would drop out of every list.
+// A VM is paused for a while, as in a live migration. When it resumes, all its
+// timers have expired while responses are unread: it would accuse everyone, and
+// healthy upstreams would drop out of every list.
 Test(membership, a_paused_node_accuses_nobody_and_recovers) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Network net = MakeJoinedNetwork(20, {.loss = 0.02}, seed);
@@ -166,9 +166,9 @@
   }
 }
 
-// A switch cuts a data centre in two for a minute. Both halves take the other
-// for dead and stop speaking to it; without a call to the dead they would stay
-// apart for good after the cut heals.
+// A switch fault partitions a data centre for a minute. Both halves declare the
+// other dead and stop probing it; without pings to dead members they would stay
+// separate after the partition heals.
 Test(membership, two_halves_merge_after_a_partition) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Network net = MakeJoinedNetwork(40, {.loss = 0.02}, seed);
@@ -187,7 +187,7 @@
 }
 
 // Frames of one node arrive late, twice and in the wrong order. If an old one
-// won, an upstream that left would be given work again.
+// won, an upstream that left would get requests again.
 Test(membership, late_and_duplicate_updates_change_nothing) {
   Rng rng(1);
   Member self;
