--- a/include/teaselspread/claim_messages.h
+++ b/include/teaselspread/claim_messages.h
@@ -16,8 +16,8 @@
 
 namespace teaselspread {
 
-// What the caller sent as Idempotency-Key. A UUID of version 7 says when it was
-// issued; for any other text that is not known.
+// The caller's Idempotency-Key. A UUID of version 7 contains its issue time;
+// for any other text that time is unknown.
 struct ClaimKey {
   std::string text;
   bool has_issue_time = false;
@@ -30,12 +30,12 @@
   }
 };
 
-// Reads the header's value: 1 to 128 printable characters without spaces, else
-// kKeyMissing (empty) or kBadRequest. Thread safe.
+// Parses the header's value: 1 to 128 printable characters without spaces.
+// Errors: kKeyMissing if empty, else kBadRequest. Thread safe.
 [[nodiscard]] Result<ClaimKey> ParseClaimKey(std::string_view header);
 
-// 128-bit digest of a request's method, path and body (XXH3). It tells honest
-// mistakes apart; it is no defence against a forger.
+// 128-bit digest of a request's method, path and body (XXH3). It detects a key
+// that is reused by mistake; it is not collision-resistant against an attacker.
 struct RequestDigest {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -53,7 +53,7 @@
                                      std::string_view path,
                                      std::string_view body);
 
-// One process that keeps claims. A restarted one has another boot id.
+// One process that stores claims. A restarted process has another boot id.
 struct Holder {
   std::string id;
   std::string data_center;
@@ -69,14 +69,14 @@
   }
 };
 
-// Whether both name one run of one process. Thread safe.
+// Whether both name the same run of the same process. Thread safe.
 [[nodiscard]] inline bool SameProcess(const Holder& a, const Holder& b) {
   return a.id == b.id && a.boot_id == b.boot_id;
 }
 
-// Who keeps claims, as agreed through the platform's log. `previous` are the
-// holders of the last epoch before this one that was activated: only those may
-// have voted, and they have to be closed first.
+// The holders of claims, as agreed through the platform's log. `previous` are
+// the holders of the last activated epoch before this one: only they may have
+// voted, and they have to be closed first.
 struct ClaimEpoch {
   std::uint64_t number = 0;
   std::vector<Holder> holders;
@@ -96,10 +96,10 @@
   return holders.size() / 2 + 1;
 }
 
-// kPropose: `epoch` should follow. kActivate: the holders of `epoch` found the
-// ones before it closed. kCheckpoint repeats what is in force, so that
-// retention does not lose it. kRestart: begin anew, since the log has been
-// trimmed and holds no base to go on from.
+// kPropose: `epoch` should follow. kActivate: the holders of `epoch` found that
+// the ones before it are closed. kCheckpoint: a copy of the current state, so
+// that retention does not lose it. kRestart: a new start, since the log has
+// been trimmed and holds no base to fold from.
 enum class EpochRecordKind : std::uint8_t {
   kPropose,
   kActivate,
@@ -107,12 +107,12 @@
   kRestart,
 };
 
-// The log's record about epochs.
+// A log record about epochs.
 struct EpochRecord {
   EpochRecordKind kind = EpochRecordKind::kPropose;
   ClaimEpoch epoch;
-  // For kCheckpoint: the last one that was activated, and the offset of the
-  // last record that its writer had folded.
+  // For kCheckpoint: the last activated epoch, and the offset of the last
+  // record that the checkpoint's writer had folded.
   ClaimEpoch active;
   std::uint64_t folded_up_to = 0;
 
@@ -122,13 +122,13 @@
   }
 };
 
-// A record and where it stands in the log.
+// A record and its offset in the log.
 struct LoggedEpoch {
   std::uint64_t offset = 0;
   EpochRecord record;
 };
 
-// One try of one gatekeeper to claim one key. Never used twice.
+// One attempt of one gatekeeper to claim one key. Never reused.
 struct AttemptId {
   std::string node;
   std::uint64_t boot_id = 0;
@@ -142,7 +142,7 @@
   }
 };
 
-// The answer that the upstream gave. A body above the limit is not kept.
+// The upstream's response. A body above the limit is not stored.
 struct ClaimOutcome {
   int status = 0;
   std::string content_type;
@@ -157,14 +157,14 @@
   }
 };
 
-// kBlocked: two attempts were seen and nobody knows which of them ran.
+// kBlocked: two attempts were granted and it is unknown which of them ran.
 enum class ClaimState : std::uint8_t { kClaimed, kReleased, kDone, kBlocked };
 
-// What a holder keeps of one key.
+// A holder's record of one key.
 struct ClaimRecord {
   RequestDigest digest;
   AttemptId attempt;
-  // Epoch in which this holder itself granted it.
+  // Epoch in which this holder itself granted the claim.
   std::uint64_t epoch = 0;
   ClaimState state = ClaimState::kClaimed;
   TimePoint updated_at;
@@ -178,7 +178,7 @@
   }
 };
 
-// Gatekeeper to holder: may this attempt run?
+// Gatekeeper to holder: requests a vote on whether this attempt may run.
 struct ClaimRequest {
   std::uint64_t epoch = 0;
   AttemptId attempt;
@@ -232,7 +232,7 @@
   }
 };
 
-// Gatekeeper to holder: it ran, and this was the answer.
+// Gatekeeper to holder: the attempt ran with this outcome.
 struct ClaimCompletion {
   std::string key;
   AttemptId attempt;
@@ -245,8 +245,8 @@
   }
 };
 
-// New holder to a holder of the epoch before: vote no more in it, and hand over
-// what you have.
+// New holder to a holder of the epoch before: stop voting in it and hand over
+// the records.
 struct HandoverRequest {
   ClaimEpoch epoch;
   Holder from;
@@ -257,8 +257,8 @@
   }
 };
 
-// kState: sealed, with its records. kNeverVoted: it never got to vote in that
-// epoch and never will. kReplaced: the process that was asked for is gone.
+// kState: sealed, with its records. kNeverVoted: it has not voted in that epoch
+// and never will. kReplaced: the requested process is gone.
 enum class HandoverKind : std::uint8_t { kState, kNeverVoted, kReplaced };
 
 struct KeyedRecord {
@@ -271,7 +271,7 @@
   }
 };
 
-// Answer to SealAsk. Large: send it over TCP.
+// Response to HandoverRequest. Large: send it over TCP.
 struct HandoverResponse {
   std::uint64_t epoch = 0;
   std::string holder;
--- a/include/teaselspread/claims.h
+++ b/include/teaselspread/claims.h
@@ -1,10 +1,10 @@
 // At-most-once execution of requests that carry an Idempotency-Key.
 //
 // Before a run the gatekeeper needs grants from a majority of the epoch's
-// holders. Who the holders are is agreed through the platform's log, so two
-// gatekeepers with different views of the members can never find two disjoint
-// majorities. A new epoch starts to vote only when the old one cannot decide
-// any more. docs/design/0004-claims.md has the argument and what it assumes.
+// holders. The holders are agreed through the platform's log, so gatekeepers
+// with different views of the members can never find two disjoint majorities.
+// A new epoch starts to vote only when the old one cannot decide any more.
+// docs/design/0004-claims.md has the argument and its assumptions.
 #ifndef TEASELSPREAD_CLAIMS_H_
 #define TEASELSPREAD_CLAIMS_H_
 
@@ -24,158 +24,164 @@
 namespace teaselspread {
 
 struct ClaimSettings {
-  // A caller repeats a key for at most this long after it first sent it; a
-  // request that it sent may be on the way for as long again.
+  // A caller retries a key for at most this long after it first sent it; each
+  // request may be in flight for as long again.
   Duration key_lifetime = std::chrono::minutes(5);
   // Bound on the difference between the clocks of two nodes.
   Duration max_clock_skew = std::chrono::milliseconds(500);
-  // A gatekeeper must be granted and start its run within this of asking.
+  // A gatekeeper must be granted a claim and start the run within this time of
+  // requesting it.
   Duration claim_window = std::chrono::seconds(5);
-  // A node whose ticks were further apart than this was paused: what waits in
-  // its sockets may be older than any record of the key.
+  // A node whose ticks are further apart than this was paused: requests in its
+  // sockets may be older than any record of their key.
   Duration max_tick_gap = std::chrono::seconds(1);
-  // A claim older than this without an outcome counts as "outcome unknown"
+  // A claim older than this without an outcome is reported as "outcome unknown"
   // instead of "in progress".
   Duration max_run_time = std::chrono::seconds(30);
-  // How long a new holder waits for old ones that may still answer.
+  // How long a new holder waits for old ones that may still respond.
   Duration handover_timeout = std::chrono::seconds(2);
-  // Old holders that neither answer nor are known to be gone are waited for
-  // this long; a holder stops voting when it could not read the log for half.
+  // A new holder waits this long for old ones that neither respond nor are
+  // known to be gone. A holder that could not read the log for half of this
+  // time stops voting.
   Duration fencing_timeout = std::chrono::minutes(30);
-  // Largest answer body that is kept with an outcome.
+  // Largest response body that is stored with an outcome.
   std::size_t max_stored_body_bytes = 4096;
 };
 
-// The fold of the log's epoch records. Every reader comes to the same one. An
-// epoch that another one replaced before it was activated never votes.
+// The fold of the log's epoch records, the same for every reader. An epoch that
+// is replaced before its activation never votes.
 struct EpochLog {
-  // False until a reader of a trimmed log has found a base to fold from.
+  // False until the reader of a trimmed log has found a base to fold from.
   bool has_base = false;
   ClaimEpoch current;
   ClaimEpoch active;
 };
 
 // Folds all epoch records that the log still holds, in its order.
-// `first_offset` is the log's first one; above 0, older records were trimmed.
-// While the result is not known, call it again with the records that came
-// since. Thread safe.
+// `first_offset` is the log's first offset; above 0, older records were
+// trimmed. While `has_base` of the result is false, call it again with the
+// records that were appended since. Thread safe.
 [[nodiscard]] EpochLog ReadEpochs(std::span<const LoggedEpoch> records,
                                   std::uint64_t first_offset);
 
-// Takes in the next record. Precondition: log.known. Returns whether anything
+// Folds the next record. Precondition: log.has_base. Returns whether anything
 // changed. Not thread safe.
 bool FoldEpoch(EpochLog& log, const EpochRecord& record);
 
-// What to append when the log was read to its end and is still not known. The
-// holders wait for the whole fence, since those of a lost epoch may still vote.
-// Not thread safe.
+// The record to append when the log was read to its end and `has_base` is still
+// false. Its holders wait for the whole `fencing_timeout`, since those of a
+// lost epoch may still vote. Not thread safe.
 [[nodiscard]] std::optional<EpochRecord>
 ProposeRestart(std::span<const Holder> candidates, TimePoint now, Rng& rng);
 
-// The epoch to append, if the one in force has holders that are not among
-// `candidates` (alive, ready, not leaving), too few, or two in one data centre
-// while another has none. Keeps those that stay. Let some seconds pass between
-// proposals: each costs a handover. Not thread safe.
+// The epoch to append, if the current one has holders that are not among
+// `candidates` (alive, ready, not leaving), too few holders, or two in one data
+// centre while another has none. Keeps the remaining holders. Let some seconds
+// pass between proposals: each costs a handover. Not thread safe.
 [[nodiscard]] std::optional<ClaimEpoch>
 ProposeEpoch(const EpochLog& log, std::span<const Holder> candidates, Rng& rng);
 
-// kOutside: not a holder. kTakingOver: named, but the epoch before may still
-// decide, or this one is not activated yet. kVoting: votes.
+// kNotHolder: not a holder of the epoch. kTakingOver: a holder, but the epoch
+// before may still decide, or this one is not activated yet. kVoting: votes.
 enum class HolderState : std::uint8_t { kNotHolder, kTakingOver, kVoting };
 
 // "outside", "taking-over" or "voting". Thread safe.
 [[nodiscard]] std::string_view NameOf(HolderState state);
 
-// How an old holder was closed.
+// What is known of an old holder. All but kOpen are closed: such a holder
+// cannot vote in the old epoch any more. kSealed: it handed over its records.
+// kNeverVoted: it never voted in the old epoch. kGone: its process has ended,
+// or `fencing_timeout` has passed.
 enum class HandoverState : std::uint8_t { kOpen, kSealed, kNeverVoted, kGone };
 
 using ClaimTable = std::unordered_map<std::string, ClaimRecord>;
 
-// What one holder of the epoch before (the last activated one) handed over.
+// Records handed over by one holder of the last activated epoch.
 struct Handover {
   HandoverState state = HandoverState::kOpen;
   TimePoint complete_since;
   std::vector<KeyedRecord> records;
 };
 
-// One node's part in keeping claims. All functions on it: not thread safe.
+// Claims state of one node. All functions on it: not thread safe.
 struct ClaimKeeper {
   ClaimSettings settings;
   Holder self;
   ClaimEpoch epoch;
   HolderState state = HolderState::kNotHolder;
-  // The log says that `epoch` was activated.
+  // The log holds the activation of `epoch`.
   bool activated = false;
   ClaimTable records;
   // Claims first sent before this may be missing from `records`.
   TimePoint complete_since = TimePoint::min();
-  // Last epoch in which this node voted, whose records it still has.
+  // Last epoch in which this node voted; it still has that epoch's records.
   std::uint64_t voted_epoch = 0;
   TimePoint epoch_learned_at;
   TimePoint log_confirmed_at;
   TimePoint last_tick;
-  // When records that are too old are looked for next.
+  // When to look next for expired records.
   TimePoint next_sweep;
-  // Requests read before this may have waited through a pause.
+  // Requests read before this time may have waited in a socket through a pause.
   TimePoint stale_requests_until;
   std::map<std::string, Handover> handovers;
 };
 
-// The records of the sender's epoch are asked for, at these holders.
+// A handover request and the old holders to send it to.
 struct HandoverRequests {
   HandoverRequest request;
   std::vector<Holder> recipients;
 };
 
-// A newer epoch was read from the log, or shown by a message. Stops voting in
-// the old one at once. Returns whom to ask for a handover, if this node is a
-// holder of the new one. Not thread safe.
+// Processes an epoch from the log or from a message. If it is newer, voting in
+// the old one stops at once. Returns the handover requests to send, if this
+// node is a holder of the new one. Not thread safe.
 [[nodiscard]] HandoverRequests LearnEpoch(ClaimKeeper& keeper,
                                           const ClaimEpoch& epoch,
                                           TimePoint now);
 
-// True if the old epoch is closed and the log does not say yet that this one is
-// active: append a kActivate record of `keeper.epoch`, again if it got lost.
-// Not thread safe.
+// True if the old epoch is closed and the log does not hold the activation of
+// this one yet: append a kActivate record of `keeper.epoch`, and again if it
+// was lost. Not thread safe.
 [[nodiscard]] bool WantsActivation(const ClaimKeeper& keeper, TimePoint now);
 
-// The log says that epoch `number` was activated. Not thread safe.
+// Processes the activation of epoch `number` from the log. Not thread safe.
 void LearnActivation(ClaimKeeper& keeper, std::uint64_t number, TimePoint now);
 
-// Who still has to hand over: repeat the ask to them now and then. Not thread
-// safe.
+// The request for the old holders that are still open; send it again
+// periodically. Not thread safe.
 [[nodiscard]] HandoverRequests OpenHandovers(const ClaimKeeper& keeper);
 
-// A read of the log that began at `began` reached its end and showed no newer
-// epoch. A holder that is never told so does not vote. Nodes that do not read
-// the log may be told by those that do. Not thread safe.
+// A read of the log that began at `read_began_at` reached its end and found no
+// newer epoch. A holder without such a confirmation does not vote. Nodes that
+// do not read the log may get it from those that do. Not thread safe.
 void ConfirmEpoch(ClaimKeeper& keeper, TimePoint read_began_at);
 
-// Answers a new holder; `asked_id` and `asked_boot_id` are what it asked for.
-// Call LearnEpoch with ask.epoch first: nothing is answered before, since this
-// node might still vote in the old epoch. Not thread safe.
+// The response to a new holder; `requested_id` and `requested_boot_id` name the
+// process that it addressed. Call LearnEpoch with request.epoch first: before
+// that there is no response, since this node might still vote in the old epoch.
+// Not thread safe.
 [[nodiscard]] std::optional<HandoverResponse> MakeHandoverResponse(
     const ClaimKeeper& keeper,
     const HandoverRequest& request,
     std::string_view requested_id,
     std::uint64_t requested_boot_id);
 
-// An old holder answered. Not thread safe.
+// Processes the response of an old holder. Not thread safe.
 void ReceiveHandover(ClaimKeeper& keeper,
                      const HandoverResponse& response,
                      TimePoint now);
 
-// The process `boot_id` of node `id` is known to be gone: another process
-// speaks for the node. Silence is no proof. Not thread safe.
+// Marks the process `boot_id` of node `id` as gone. Call it only when another
+// process acts for the node: a missing response is no proof. Not thread safe.
 void MarkHolderGone(ClaimKeeper& keeper,
                     std::string_view id,
                     std::uint64_t boot_id,
                     TimePoint now);
 
-// Time has passed: starts to vote if it may, drops records that are too old,
-// notices pauses. Call it about every 100 ms, and for the first time before the
-// process accepts connections: a pause before the first call is not noticed,
-// and what came in through it could be older than any record of its key. No
+// Runs the timers: starts to vote if it may, drops expired records, detects
+// pauses. Call it about every 100 ms, and for the first time before the process
+// accepts connections: a pause before the first call is not detected, and
+// requests received during it could be older than any record of their key. No
 // attempt begins before the first call. Not thread safe.
 void TickClaims(ClaimKeeper& keeper, TimePoint now);
 
@@ -184,18 +190,18 @@
                                const ClaimRequest& request,
                                TimePoint now);
 
-// Not thread safe.
+// Releases the claim of an attempt that will never run. Not thread safe.
 void ReleaseClaim(ClaimKeeper& keeper, const ClaimRelease& release);
 
-// Not thread safe.
+// Stores the outcome of an attempt that ran. Not thread safe.
 void RecordOutcome(ClaimKeeper& keeper,
                    const ClaimCompletion& completion,
                    TimePoint now);
 
-// kGranted: run it, if MayRun still says so. kInProgress, kUnknown: answer with
-// kInProgress or kOutcomeUnknown. kDone: answer with the outcome. kMismatch:
-// kKeyMismatch. kUnproven: too few votes; this attempt does not run, yet an
-// earlier one may have.
+// kGranted: run the request if MayRun is still true. kInProgress, kUnknown:
+// respond with kInProgress or kOutcomeUnknown. kDone: respond with the outcome.
+// kMismatch: respond with kKeyMismatch. kUnproven: too few votes; this attempt
+// does not run, but an earlier one may have run.
 enum class ClaimVerdict : std::uint8_t {
   kPending,
   kGranted,
@@ -223,41 +229,44 @@
   std::map<std::string, ClaimVote> votes;
   ClaimVerdict verdict = ClaimVerdict::kPending;
   ClaimOutcome outcome;
-  // A holder knows a newer epoch: learn it and try again.
+  // A holder knows a newer epoch: learn it and retry.
   bool epoch_is_old = false;
 };
 
 // Starts an attempt of the node of `keeper`. Its verdict is kUnproven at once
-// if the node knows no epoch or was paused a moment ago. Precondition: `id`
-// was never used before. Not thread safe.
+// if the node knows no epoch or was paused recently. Precondition: `id` was
+// never used before. Not thread safe.
 [[nodiscard]] ClaimAttempt BeginClaim(const ClaimKeeper& keeper,
                                       const AttemptId& id,
                                       const ClaimKey& key,
                                       const RequestDigest& digest,
                                       TimePoint now);
 
-// The message for every holder; repeat it to those that did not vote. Not
+// The message for every holder; send it again to those that did not vote. Not
 // thread safe.
 [[nodiscard]] ClaimRequest RequestOf(const ClaimAttempt& attempt);
 
-// Takes in a vote; votes for other attempts, repeated and late ones change
-// nothing. Returns the verdict so far. Not thread safe.
+// Processes a vote; late and duplicate votes and those for other attempts
+// change nothing. Returns the verdict so far. Not thread safe.
 ClaimVerdict ReceiveVote(ClaimAttempt& attempt,
                          const ClaimVote& vote,
                          TimePoint now);
 
-// No more votes are waited for (the deadline is near). Not thread safe.
+// Stops waiting for votes (the deadline is near) and returns the verdict. Not
+// thread safe.
 ClaimVerdict AbandonClaim(ClaimAttempt& attempt);
 
-// Ask this right before the request is sent to the upstream. If it is false,
-// answer kClaimUnavailable: the key is proved not to have run. Not thread safe.
+// Check this right before the request is sent to the upstream. If it is false,
+// respond with kClaimUnavailable: the key is proved not to have run. Not thread
+// safe.
 [[nodiscard]] bool MayRun(const ClaimAttempt& attempt, TimePoint now);
 
-// For every holder, once it is certain that the attempt never runs. Not thread
-// safe.
+// The message for every holder, once it is certain that the attempt never runs.
+// Not thread safe.
 [[nodiscard]] ClaimRelease ReleaseOf(const ClaimAttempt& attempt);
 
-// For every holder, once the upstream has answered in full. Not thread safe.
+// The message for every holder, once the upstream has responded in full. Not
+// thread safe.
 [[nodiscard]] ClaimCompletion CompletionOf(const ClaimSettings& settings,
                                            const ClaimAttempt& attempt,
                                            ClaimOutcome outcome);
--- a/include/teaselspread/member.h
+++ b/include/teaselspread/member.h
@@ -30,8 +30,8 @@
   bool operator==(const Announcement&) const = default;
 };
 
-// One node, as last reported. The highest incarnation wins; a restart always
-// has a higher one.
+// One node, as last reported. The highest incarnation wins; a restart has a
+// higher one.
 struct Member {
   // The VM's name, unique in the deployment.
   std::string id;
--- a/src/claims/attempt.cc
+++ b/src/claims/attempt.cc
@@ -28,15 +28,15 @@
       [](const auto& entry) { return entry.second.may_be_running; });
 }
 
-// A request that waited in a socket through a pause can be older than the
-// records of its key; it would then run a second time.
+// A request that waited in a socket during a pause may be older than the
+// records of its key and would run a second time.
 bool WasPaused(const ClaimKeeper& keeper, TimePoint now) {
   return now - keeper.last_tick > keeper.settings.max_tick_gap ||
          now < keeper.stale_requests_until;
 }
 
-// Without a majority the key is held by another attempt, or not enough holders
-// could tell.
+// Without a majority of grants, either another attempt holds the key or too few
+// holders voted.
 ClaimVerdict VerdictWithoutMajority(const ClaimAttempt& attempt) {
   if (CountVotes(attempt, VoteKind::kHeld) == 0)
     return ClaimVerdict::kUnproven;
@@ -109,8 +109,8 @@
   if (attempt.verdict != ClaimVerdict::kPending || vote.attempt != attempt.id ||
       !IsHolderOf(attempt.epoch, vote.holder))
     return attempt.verdict;
-  // An ask that lay about for long may have been granted after the record of
-  // an earlier run had expired.
+  // A delayed request may have been granted after the record of an earlier run
+  // had expired.
   if (now - attempt.requested_at > attempt.window)
     return AbandonClaim(attempt);
   attempt.votes.emplace(vote.holder, vote);
--- a/src/claims/coverage.h
+++ b/src/claims/coverage.h
@@ -1,4 +1,4 @@
-// Whether a holder's memory reaches back far enough, private to claims.
+// Whether a holder's records reach back far enough; private to claims.
 #ifndef TEASELSPREAD_CLAIMS_COVERAGE_H_
 #define TEASELSPREAD_CLAIMS_COVERAGE_H_
 
@@ -6,8 +6,8 @@
 
 namespace teaselspread {
 
-// From a key's first sending to the last moment at which a repeat of it can be
-// granted. Thread safe.
+// Time from a key's first sending to the last moment at which a retry of it can
+// be granted. Thread safe.
 [[nodiscard]] inline Duration MaxRetryAge(const ClaimSettings& settings) {
   return 2 * settings.key_lifetime + settings.claim_window;
 }
--- a/src/claims/epoch.cc
+++ b/src/claims/epoch.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kMaxHolders = 3;
-// Milliseconds since 1970, in 2004.
+// In milliseconds since 1970: a time in 2004.
 constexpr std::uint64_t kMinRestartNumber = 1ULL << 40;
 
 bool ContainsProcess(std::span<const Holder> holders, const Holder& holder) {
@@ -26,8 +26,8 @@
       }));
 }
 
-// Three holders in three data centres outlive a herd that dies, or a cut, in
-// one of them.
+// Three holders in three data centres survive the failure of many VMs, or a
+// partition, in one of them.
 const Holder* BestAddition(const std::vector<Holder>& holders,
                            std::span<const Holder> candidates,
                            std::size_t offset) {
@@ -46,8 +46,8 @@
   return best;
 }
 
-// A data centre that died has come back: two holders that share another one
-// would be lost together with it.
+// True if a candidate's data centre has no holder, such as one that has
+// recovered: two holders in another data centre would fail together with it.
 bool HasUnusedDataCenter(const std::vector<Holder>& holders,
                          std::span<const Holder> candidates) {
   return std::any_of(candidates.begin(), candidates.end(),
@@ -57,7 +57,7 @@
                      });
 }
 
-// A node that is named twice would be a majority alone.
+// A node that is listed twice would be a majority on its own.
 bool IsWellFormed(const ClaimEpoch& epoch) {
   std::set<std::string> ids;
   for (const Holder& holder : epoch.holders)
@@ -73,7 +73,7 @@
       epoch.previous != log.active.holders)
     return false;
   log.current = epoch;
-  // Nothing can have voted before the first one.
+  // Nobody can have voted before the first epoch.
   if (epoch.number == 1)
     log.active = epoch;
   return true;
@@ -87,9 +87,9 @@
   return true;
 }
 
-// Numbered by the clock, which is far above any count, so that those who still
-// know a lost epoch take this one for newer. Until it is activated there is no
-// active one: nobody knows whom to close.
+// A restart is numbered by the clock, far above any counted number, so that
+// nodes that still know a lost epoch treat it as newer. Until its activation no
+// epoch is active, since the holders to be closed are unknown.
 bool FoldRestart(EpochLog& log, const ClaimEpoch& epoch) {
   const bool well_formed = IsWellFormed(epoch) && epoch.previous.empty();
   if (!well_formed || epoch.number < kMinRestartNumber ||
@@ -101,9 +101,9 @@
   return true;
 }
 
-// A checkpoint counts only if every record since the last one that its writer
-// had folded is still there: one that a paused writer appended late would
-// bring back an epoch that has been replaced.
+// A checkpoint is valid as a base only if the log still holds every record
+// after the last one that its writer had folded. Otherwise one that a paused
+// writer appended late would restore an epoch that has been replaced.
 const LoggedEpoch* FindBase(std::span<const LoggedEpoch> records,
                             std::uint64_t first_offset) {
   for (const LoggedEpoch& logged : records) {
--- a/src/claims/keeper.cc
+++ b/src/claims/keeper.cc
@@ -21,8 +21,8 @@
   return vote;
 }
 
-// A holder that is cut off from the log may have been replaced without knowing
-// it, and its successors wait only so long.
+// A holder that cannot read the log may have been replaced without knowing it,
+// and its successors wait no longer than `fencing_timeout`.
 bool MayVote(const ClaimKeeper& keeper,
              const ClaimRequest& request,
              TimePoint now) {
@@ -52,7 +52,7 @@
   const bool same_attempt =
       record.attempt == request.attempt && record.epoch == request.epoch;
   if (record.state == ClaimState::kReleased) {
-    // The ask of the released attempt itself came late or twice.
+    // The request of the released attempt itself arrived late or twice.
     return same_attempt ? MakeVote(keeper, request, VoteKind::kAbstain)
                         : Grant(keeper, request, now);
   }
--- a/src/claims/takeover.cc
+++ b/src/claims/takeover.cc
@@ -29,14 +29,15 @@
       [state](const auto& entry) { return entry.second.state == state; }));
 }
 
-// While a majority of the old holders is open, the old epoch may still decide.
+// While a majority of the old holders is open, the old epoch may still decide
+// claims.
 bool OldEpochIsClosed(const ClaimKeeper& keeper) {
   return CountHandovers(keeper, HandoverState::kOpen) <
          QuorumOf(keeper.epoch.previous);
 }
 
-// Every decision of the old epoch had a vote of a holder whose records are
-// here, unless a majority of it is gone or silent.
+// Every decision of the old epoch includes the vote of a holder that handed
+// over its records, unless a majority is gone or did not respond.
 bool HandoverIsComplete(const ClaimKeeper& keeper) {
   const std::size_t missing = CountHandovers(keeper, HandoverState::kOpen) +
                               CountHandovers(keeper, HandoverState::kGone);
@@ -44,8 +45,9 @@
          missing < QuorumOf(keeper.epoch.previous);
 }
 
-// Two old holders may have granted the key to different attempts, and the one
-// that is not heard of decides which ran. Neither may run or be released now.
+// Two old holders may have granted the key to different attempts, and only the
+// records of a missing holder show which ran. The key is blocked: neither
+// attempt may run or be released now.
 void MergeRecord(ClaimTable& table, const KeyedRecord& entry) {
   if (entry.record.state == ClaimState::kReleased)
     return;
@@ -75,7 +77,7 @@
     for (const KeyedRecord& entry : handover.records)
       MergeRecord(table, entry);
   }
-  // Outcomes that came in while taking over.
+  // Outcomes received during the takeover.
   for (const auto& [key, record] : keeper.records) {
     if (record.state == ClaimState::kDone)
       MergeRecord(table, {key, record});
@@ -90,7 +92,7 @@
 bool IsReadyToVote(const ClaimKeeper& keeper, TimePoint now) {
   if (keeper.state != HolderState::kTakingOver || !OldEpochIsClosed(keeper))
     return false;
-  // After a restart nobody knows who voted before: only time closes them.
+  // After a restart the earlier holders are unknown: only time closes them.
   if (keeper.epoch.previous.empty())
     return now - keeper.epoch_learned_at >= keeper.settings.fencing_timeout;
   const bool has_timed_out =
@@ -98,16 +100,17 @@
   return HandoverIsComplete(keeper) || has_timed_out;
 }
 
-// The log must say so before the first vote. Otherwise the next epoch could not
-// know whether this one or the one before it may still decide: with a quick
-// row of epochs, holders that were cut off went on in an old one while a new
-// one had closed only epochs that never voted, and keys ran twice.
+// The log must hold the activation before the first vote. Otherwise the next
+// epoch could not know whether this one or the one before may still decide.
+// With epochs in quick succession, partitioned holders kept voting in an old
+// one while a new one had closed only epochs that never voted, and keys ran
+// twice.
 void TryToVote(ClaimKeeper& keeper, TimePoint now) {
   if (keeper.activated && IsReadyToVote(keeper, now))
     StartVoting(keeper, now);
 }
 
-// Before the very first epoch nothing can have run.
+// Nothing can have run before the first epoch, so there is no handover.
 void StartFirstEpoch(ClaimKeeper& keeper) {
   keeper.activated = true;
   keeper.complete_since = TimePoint::min();
@@ -140,8 +143,8 @@
   }
 }
 
-// A holder may keep a hundred thousand records: looking through all of them at
-// every tick was what first used up a holder's share of a core.
+// A holder may store a hundred thousand records. Scanning all of them at every
+// tick was the first thing to use up a holder's share of a core.
 void SweepRecords(ClaimKeeper& keeper, TimePoint now) {
   if (now < keeper.next_sweep)
     return;
@@ -239,9 +242,9 @@
   response.holder = std::string(requested_id);
   if (keeper.self.boot_id != requested_boot_id)
     return response;
-  // One that votes in the new epoch already has all of the old one's records
-  // and newer ones. Calling that "never voted" hid claims from the slowest of
-  // the new holders, and keys ran twice.
+  // A node that already votes in the new epoch has all records of the old one
+  // and newer ones. Responding "never voted" hid claims from the slowest new
+  // holder, and keys ran twice.
   if (keeper.voted_epoch < request.epoch.previous_number) {
     response.kind = HandoverKind::kNeverVoted;
     return response;
--- a/tests/claims/world.h
+++ b/tests/claims/world.h
@@ -1,5 +1,6 @@
-// A few nodes, their callers and the log on a virtual clock. Every message is
-// its own event: it can be lost, repeated, late, crossed or cut off.
+// Simulates a few nodes, their callers and the log on a virtual clock. Every
+// message is an event of its own: it can be lost, duplicated, delayed,
+// reordered or stopped by a partition.
 #ifndef TEASELSPREAD_TESTS_CLAIMS_WORLD_H_
 #define TEASELSPREAD_TESTS_CLAIMS_WORLD_H_
 
@@ -25,11 +26,11 @@
   double loss = 0.03;
   double duplicate = 0.03;
   double delay = 0.02;
-  // Share of looks at another node that take it for dead.
+  // Probability that a node regards another live one as dead when it proposes.
   double false_death = 0.01;
 };
 
-// Few or many losses, late messages and wrong views, by the seed.
+// Varies the rates of lost and delayed messages and of wrong views by the seed.
 inline Faults FaultsOf(std::uint64_t seed) {
   Faults faults;
   faults.loss = std::array{0.02, 0.1, 0.3}.at(seed % 3);
@@ -44,7 +45,7 @@
   std::size_t next_log_index = 0;
   bool alive = true;
   int side = 0;
-  // Cut off from the log, too, while the cut lasts.
+  // Also cut off from the log while a partition lasts.
   bool cut_off_from_log = false;
   Duration skew{};
   TimePoint paused_until;
@@ -177,8 +178,8 @@
   this->events.push({at, this->next_order++, std::move(action)});
 }
 
-// Runs at the node unless its process has been replaced; a paused one runs it
-// when it wakes.
+// Runs `action` at the node unless its process has been replaced; a paused node
+// runs it when it resumes.
 inline void Simulation::AtNode(std::size_t index,
                                Duration after,
                                const Action& action) {
@@ -272,7 +273,7 @@
   }
 }
 
-// Each node has its own, partly wrong view of who is alive.
+// Each node has its own, partly wrong view of the live nodes.
 inline void Simulation::Propose(Node& node) {
   std::vector<Holder> candidates;
   for (const Node& other : this->nodes) {
@@ -420,7 +421,7 @@
   this->Broadcast(index, attempt, ReleaseOf(attempt));
 }
 
-// Some gatekeepers change their mind (queue full, caller gone) or are late.
+// Some gatekeepers abandon the run (queue full, caller gone) or are too late.
 inline void Simulation::StartRun(std::size_t index, std::uint64_t sequence) {
   Node& node = this->nodes[index];
   const ClaimAttempt& attempt = node.attempts.at(sequence);
--- a/tests/unit/claims_history_test.cc
+++ b/tests/unit/claims_history_test.cc
@@ -18,9 +18,9 @@
 
 constexpr std::uint64_t kSeeds = 600;
 
-// Seeds above kSeeds that found a fault, or that find one again when a guard is
-// taken out: the answer of one that votes already, the record that two attempts
-// share, the fence, the pause.
+// Seeds above kSeeds that found a fault, or that find one when a guard is
+// removed: the handover response of a node that already votes, the blocked
+// record of two attempts, the fencing time-out, the pause detection.
 constexpr std::array<std::uint64_t, 23> kKnownSeeds = {
     959,  1304, 1342, 1598, 1628, 1667, 1707, 1823, 1901, 1949, 2008, 2835,
     3209, 3320, 3552, 4673, 4768, 4906, 5104, 5297, 7472, 9438, 10127};
@@ -45,11 +45,11 @@
   return sum;
 }
 
-// A clerk's filing is sent again through other nodes while nodes die in herds,
-// restart without their memory, pause and are cut off, and messages are lost,
-// repeated, late and crossed. A second run would lodge the filing twice and
-// charge the client twice. An answer "not run" for a filing that ran would make
-// the clerk lodge it again under a new key.
+// A filing is retried through other nodes while many nodes fail at once,
+// restart without their state, pause and are partitioned, and messages are
+// lost, duplicated, delayed and reordered. A second run would lodge the filing
+// and charge the client twice. A response "not run" for a filing that ran would
+// make the caller lodge it again under a new key.
 Test(claims_history, no_key_runs_twice_under_faults) {
   std::vector<std::uint64_t> seeds(kSeeds);
   std::iota(seeds.begin(), seeds.end(), 1);
@@ -69,12 +69,12 @@
       "%d mismatch %d not-run %d epochs %d",
       sum.requests, sum.executed, sum.done, sum.in_progress, sum.unknown,
       sum.unproven, sum.mismatch, sum.not_run, sum.epochs);
-  // The faults must leave enough runs to be worth the check.
+  // Enough requests must run for the check to be meaningful.
   cr_assert(sum.executed > static_cast<int>(kSeeds) * kKeys / 4);
 }
 
-// Without faults every filing must run: a guard that refuses everything would
-// pass the test above and serve nobody.
+// Without faults every filing must run: a guard that refuses all requests would
+// pass the test above.
 Test(claims_history, every_key_runs_once_without_faults) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Simulation sim(seed, Faults{false, 0, 0, 0, 0}, NodesOf(seed));
--- a/tests/unit/claims_test.cc
+++ b/tests/unit/claims_test.cc
@@ -12,7 +12,7 @@
 using Ms = std::chrono::milliseconds;
 using Minutes = std::chrono::minutes;
 
-// Late enough that restarts, which are numbered by the clock, are valid.
+// Late enough for valid restarts, which are numbered by the clock.
 const TimePoint kStart{std::chrono::hours(24 * 365 * 50)};
 const RequestDigest kBodyDigest{0, 1};
 
@@ -72,8 +72,8 @@
   return attempt.verdict;
 }
 
-// A clerk's program sends the same key again: while the first one runs, after
-// its answer was lost, and by mistake for another filing.
+// A caller sends the same key again: while the first request runs, after its
+// response was lost, and by mistake for another request.
 Test(claims, a_retry_gets_the_state_of_the_first_attempt) {
   auto keepers = MakeKeepers(3);
   ClaimAttempt first = BeginAttempt(keepers[0], 1, "k", kBodyDigest, kStart);
@@ -100,8 +100,8 @@
   cr_assert(ErrorOf(ClaimVerdict::kMismatch) == ErrorKind::kKeyMismatch);
 }
 
-// The gatekeeper gave up before the run and said "not run". The clerk's repeat
-// has to run, and the first one's ask, late on its way, must not block it.
+// The gatekeeper abandoned the run and responded "not run". The caller's retry
+// has to run, and the delayed claim request of the first must not block it.
 Test(claims, a_released_key_can_be_claimed_again) {
   auto keepers = MakeKeepers(3);
   ClaimAttempt first = BeginAttempt(keepers[0], 1, "k", kBodyDigest, kStart);
@@ -115,8 +115,8 @@
   cr_assert(CollectVotes(keepers, second, kStart) == ClaimVerdict::kGranted);
 }
 
-// A holder's VM is replaced. The two that are left hand over what they have, so
-// that filings go on at once and old keys are still known.
+// A holder's VM is replaced. The two remaining holders hand over their records,
+// so that new keys are granted at once and old ones are still known.
 Test(claims, one_lost_holder_is_replaced_without_a_gap) {
   auto keepers = MakeKeepers(4);
   ClaimAttempt first = BeginAttempt(keepers[0], 1, "old", kBodyDigest, kStart);
@@ -149,8 +149,8 @@
   cr_assert(CollectVotes(keepers, retry, kStart) == ClaimVerdict::kInProgress);
 }
 
-// Two of three holders restart and have forgotten. A key that may have run is
-// not vouched for; one that was issued after the loss is.
+// Two of three holders restart and lose their records. A key that may have run
+// is not granted; one that was issued after the loss is.
 Test(claims, after_a_loss_only_newer_keys_are_granted) {
   ClaimKeeper keeper;
   keeper.self = MakeHolder(0, 2);
@@ -178,7 +178,7 @@
   cr_assert(vote({"opaque", false, {}}, after) == VoteKind::kGrant);
 }
 
-// A holder is cut off from the log and may have been replaced.
+// A holder cannot read the log and may have been replaced.
 Test(claims, a_holder_that_cannot_read_the_log_stops_voting) {
   auto keepers = MakeKeepers(3);
   const ClaimRequest request{1, {"g", 1, 1}, {"k", false, {}}, kBodyDigest};
@@ -186,8 +186,9 @@
             VoteKind::kAbstain);
 }
 
-// Two nodes see a holder die and both propose. Every reader, also one that
-// begins after the log was trimmed, must name the same holders.
+// Two nodes detect the death of a holder and both propose an epoch. Every
+// reader, also one that starts after the log was trimmed, must find the same
+// holders.
 Test(claims, every_reader_folds_the_log_to_the_same_epoch) {
   Rng rng(1);
   const auto alive = MakeHolders(6);
@@ -207,7 +208,7 @@
   std::swap(loser.holders[0], loser.holders[1]);
   records.push_back({1, {EpochRecordKind::kPropose, winner, {}, 0}});
   records.push_back({2, {EpochRecordKind::kPropose, loser, {}, 0}});
-  // A paused node appends what was in force at offset 0.
+  // A paused node appends a checkpoint of the state at offset 0.
   records.push_back({3, {EpochRecordKind::kCheckpoint, first, first, 0}});
   records.push_back({4, {EpochRecordKind::kCheckpoint, winner, first, 2}});
   cr_assert(ReadEpochs(records, 0).current == winner);
@@ -219,8 +220,9 @@
   cr_assert(!ReadEpochs({}, 9).has_base);
 }
 
-// A whole data centre dies and comes back. Two holders are left in one of the
-// others; if that one dies next, filings wait until old keys have expired.
+// A whole data centre fails and recovers, which leaves two holders in one of
+// the others. If that one failed next, keys without an issue time would not be
+// granted until old keys have expired.
 Test(claims, holders_spread_again_when_a_data_center_returns) {
   Rng rng(1);
   const auto all = MakeHolders(6);
@@ -237,8 +239,8 @@
   cr_assert(!ProposeEpoch(log, all, rng).has_value());
 }
 
-// Retention took every record about epochs while the log could not be written.
-// The new holders wait until the old ones have surely stopped.
+// Retention dropped all epoch records while the log could not be written. The
+// new holders must wait until the old ones have certainly stopped voting.
 Test(claims, a_restart_waits_for_the_whole_fence) {
   Rng rng(1);
   const auto record = ProposeRestart(MakeHolders(3), kStart, rng);
@@ -261,7 +263,7 @@
   cr_assert(keeper.complete_since > kStart, "what ran before is not known");
 }
 
-// Callers' keys come in any shape; a UUID of version 7 tells when it was made.
+// Keys are any printable text; a UUID of version 7 contains its issue time.
 Test(claims, keys_are_read_and_checked) {
   const auto uuid = ParseClaimKey("017F22E2-79B0-7CC3-98C4-DC0C0C07398F");
   cr_assert(uuid->has_issue_time);
