--- a/src/claims/coverage.h
+++ b/src/claims/coverage.h
@@ -1,4 +1,4 @@
-// Whether a holder's memory reaches back far enough, private to claims.
+// Whether a holder's records reach back far enough; private to claims.
 #ifndef TEASELSPREAD_CLAIMS_COVERAGE_H_
 #define TEASELSPREAD_CLAIMS_COVERAGE_H_
 
@@ -6,10 +6,10 @@
 
 namespace teaselspread {
 
-// From a key's first sending to the last moment at which a repeat of it can be
-// granted. Thread safe.
-[[nodiscard]] inline Duration LongestRepeat(const ClaimSettings& settings) {
-  return 2 * settings.key_life + settings.claim_window;
+// Time from a key's first sending to the last moment at which a retry of it can
+// be granted. Thread safe.
+[[nodiscard]] inline Duration MaxRetryAge(const ClaimSettings& settings) {
+  return 2 * settings.key_lifetime + settings.claim_window;
 }
 
 // True if `keeper` would have a record of `key`, had it been claimed before.
--- a/tests/unit/membership_test.cc
+++ b/tests/unit/membership_test.cc
@@ -10,10 +10,10 @@
 namespace teaselspread::test {
 namespace {
 
-// A running network of `count` nodes that all know each other.
-Network Joined(std::size_t count,
-               NetworkSettings settings,
-               std::uint64_t seed) {
+// A running network of `count` nodes that have all joined.
+Network MakeJoinedNetwork(std::size_t count,
+                          NetworkSettings settings,
+                          std::uint64_t seed) {
   Network net(settings, seed);
   for (std::size_t i = 0; i < count; ++i)
     net.Add("bole");
@@ -22,9 +22,9 @@
   return net;
 }
 
-std::size_t KnownAs(const Network& net,
-                    const std::string& id,
-                    MemberStatus status) {
+std::size_t CountNodesSeeing(const Network& net,
+                             const std::string& id,
+                             MemberStatus status) {
   std::size_t count = 0;
   for (const auto& node : net.nodes) {
     const Member* member = FindMember(node->membership, id);
@@ -36,7 +36,7 @@
 
 Test(membership, all_nodes_come_to_know_each_other) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    const Network net = Joined(60, {.loss = 0.05}, seed);
+    const Network net = MakeJoinedNetwork(60, {.loss = 0.05}, seed);
     cr_assert(net.FractionOf([](const Node& node) {
       return CountLive(node.membership) == 59;
     }) == 1.0);
@@ -44,11 +44,11 @@
   }
 }
 
-// An upstream drains for its planned stop, but callers' nodes hear of it late
-// and go on sending it work; the caller sees refusals or a cut answer.
+// An upstream drains for a planned stop, but callers' nodes learn of it late
+// and keep sending requests: callers get refusals or truncated responses.
 Test(membership, leaving_is_known_to_200_nodes_within_3_seconds) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Network net = Joined(200, {.loss = 0.05}, seed);
+    Network net = MakeJoinedNetwork(200, {.loss = 0.05}, seed);
     net.Announce(17, UpstreamState::kLeaving);
     net.Run(seconds(3));
     cr_assert(net.FractionOf([](const Node& node) {
@@ -58,18 +58,18 @@
               "seed %d", static_cast<int>(seed));
     net.Leave(17);
     net.Run(seconds(3));
-    cr_assert(KnownAs(net, "vm-17", MemberStatus::kLeft) == 199);
+    cr_assert(CountNodesSeeing(net, "vm-17", MemberStatus::kLeft) == 199);
   }
 }
 
 // Many moves run and 40 rows of evidence change each second, more than the
-// rumours' budget carries. An upstream that leaves then stood in the queue
-// behind the rows, and callers' nodes sent it work for seven seconds more.
+// rumour budget allows. Queued behind them, the announcement of a leaving
+// upstream came late, and it received requests for seven seconds more.
 Test(membership, leaving_is_known_in_3_seconds_however_much_evidence_waits) {
   constexpr int kNodes = 100;
   constexpr int kRows = 40;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    Network net = Joined(kNodes, {.loss = 0.05}, seed);
+    Network net = MakeJoinedNetwork(kNodes, {.loss = 0.05}, seed);
     for (int second = 1; second <= 23; ++second) {
       for (std::size_t row = 0; row < kRows; ++row) {
         Node& node = *net.nodes[row];
@@ -92,11 +92,11 @@
   }
 }
 
-// A VM dies without a word. Its upstream stays in every node's list until the
-// failure detector takes it out, and calls to it fail meanwhile.
-Test(membership, a_dead_node_is_found_and_no_other_is_blamed) {
+// A VM crashes. Its upstream stays in every node's list, and requests to it
+// fail, until the failure detector removes it.
+Test(membership, a_dead_node_is_detected_and_no_other_is_accused) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    Network net = Joined(50, {.loss = 0.05}, seed);
+    Network net = MakeJoinedNetwork(50, {.loss = 0.05}, seed);
     std::set<std::string> dead;
     net.on_change = [&dead](const Node&, const Member& member) {
       if (member.status == MemberStatus::kDead)
@@ -104,26 +104,26 @@
     };
     net.Kill(9);
     net.Run(seconds(15));
-    cr_assert(KnownAs(net, "vm-9", MemberStatus::kDead) == 49);
+    cr_assert(CountNodesSeeing(net, "vm-9", MemberStatus::kDead) == 49);
     net.Run(seconds(120));
     cr_assert(dead == std::set<std::string>{"vm-9"});
     net.Start(9);
     net.Run(seconds(3));
-    cr_assert(KnownAs(net, "vm-9", MemberStatus::kAlive) == 49);
+    cr_assert(CountNodesSeeing(net, "vm-9", MemberStatus::kAlive) == 49);
   }
 }
 
-// A VM comes back with its clock an hour behind. All know a later start of it,
-// and its news would lose against the entry of the dead one for an hour.
+// A VM restarts with its clock an hour behind. The others hold an entry with a
+// later start, against which its updates would lose for an hour.
 Test(membership, a_restart_with_its_clock_set_back_is_known_as_a_restart) {
-  Network net = Joined(20, {.loss = 0.05}, 1);
+  Network net = MakeJoinedNetwork(20, {.loss = 0.05}, 1);
   const std::uint64_t before = net.nodes[4]->membership.self.incarnation;
   net.Kill(4);
   net.Run(seconds(1));
   net.Start(4, std::chrono::hours(1));
   net.Run(seconds(5));
   const Node& restarted = *net.nodes[4];
-  cr_assert(KnownAs(net, "vm-4", MemberStatus::kAlive) == 19);
+  cr_assert(CountNodesSeeing(net, "vm-4", MemberStatus::kAlive) == 19);
   cr_assert(net.FractionOf([&](const Node& node) {
     return StartOf(FindMember(node.membership, "vm-4")->incarnation) >
            StartOf(before);
@@ -131,12 +131,12 @@
   cr_assert(StartOf(restarted.spread.incarnation) > StartOf(before));
 }
 
-// A VM stands still for a while, as a live migration does. When it goes on, all
-// its timers are over at once while the answers lie unread: it would accuse
-// everyone, and healthy upstreams would drop out of every list.
-Test(membership, a_paused_node_blames_nobody_and_publishes_nothing_stale) {
+// A VM is paused for a while, as in a live migration. When it resumes, all its
+// timers have expired while responses are unread: it would accuse everyone, and
+// healthy upstreams would drop out of every list.
+Test(membership, a_paused_node_accuses_nobody_and_recovers) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Network net = Joined(20, {.loss = 0.02}, seed);
+    Network net = MakeJoinedNetwork(20, {.loss = 0.02}, seed);
     std::set<std::string> dead;
     std::set<std::string> suspected_by_paused;
     net.on_change = [&](const Node& node, const Member& member) {
@@ -158,7 +158,7 @@
     dead.erase("vm-3");
     cr_assert(dead.empty(), "seed %d: %s", static_cast<int>(seed),
               dead.empty() ? "" : dead.begin()->c_str());
-    cr_assert(KnownAs(net, "vm-3", MemberStatus::kAlive) == 19);
+    cr_assert(CountNodesSeeing(net, "vm-3", MemberStatus::kAlive) == 19);
     cr_assert(net.FractionOf([](const Node& node) {
       return FindMember(node.membership, "vm-5")->upstream.state ==
              UpstreamState::kLeaving;
@@ -166,12 +166,12 @@
   }
 }
 
-// A switch cuts a data centre in two for a minute. Both halves take the other
-// for dead and stop speaking to it; without a call to the dead they would stay
-// apart for good after the cut heals.
-Test(membership, two_halves_find_each_other_after_a_cut) {
+// A switch fault partitions a data centre for a minute. Both halves declare the
+// other dead and stop probing it; without pings to dead members they would stay
+// separate after the partition heals.
+Test(membership, two_halves_merge_after_a_partition) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Network net = Joined(40, {.loss = 0.02}, seed);
+    Network net = MakeJoinedNetwork(40, {.loss = 0.02}, seed);
     for (std::size_t i = 0; i < 20; ++i)
       net.nodes[i]->partition = 1;
     net.Run(seconds(60));
@@ -187,8 +187,8 @@
 }
 
 // Frames of one node arrive late, twice and in the wrong order. If an old one
-// won, an upstream that left would be given work again.
-Test(membership, late_and_repeated_news_change_nothing) {
+// won, an upstream that left would get requests again.
+Test(membership, late_and_duplicate_updates_change_nothing) {
   Rng rng(1);
   Member self;
   self.id = "vm-0";
@@ -222,7 +222,7 @@
 }
 
 Test(membership, an_opaque_rumour_reaches_all_and_the_last_version_wins) {
-  Network net = Joined(80, {.loss = 0.05, .duplication = 0.1}, 4);
+  Network net = MakeJoinedNetwork(80, {.loss = 0.05, .duplication = 0.1}, 4);
   const auto publish = [&net](std::size_t index, std::uint64_t version) {
     Node& node = *net.nodes[index];
     Result<MembershipActions> actions =
@@ -236,7 +236,8 @@
   publish(40, 3);
   net.Run(seconds(4));
   cr_assert(net.FractionOf([](const Node& node) {
-    return node.membership.opaque.at({Topic::kVerdict, "move-1"}).version == 3;
+    return node.membership.opaque_rumours.at({Topic::kVerdict, "move-1"})
+               .version == 3;
   }) == 1.0);
   Node& node = *net.nodes[0];
   Result<MembershipActions> brief =
@@ -245,7 +246,7 @@
              node.rng);
   net.Execute(0, std::move(*brief));
   const auto knows = [](const Node& any) {
-    return any.membership.opaque.contains({Topic::kCrashSuspect, "k"});
+    return any.membership.opaque_rumours.contains({Topic::kCrashSuspect, "k"});
   };
   net.Run(seconds(4));
   cr_assert(net.FractionOf(knows) == 1.0);
