--- a/benchmark/capacity_requests.h
+++ b/benchmark/capacity_requests.h
@@ -49,9 +49,9 @@
                               const auto chosen = ChooseUpstream(
                                   table, "registry-desk", "v1", {}, now, rng);
                               const std::string id = (*chosen)->id;
-                              OnSent(table, "registry-desk", "v1", id);
-                              OnAnswer(table, "registry-desk", "v1", id,
-                                       AnswerKind::kGood, 3, now);
+                              OnRequestSent(table, "registry-desk", "v1", id);
+                              OnResponse(table, "registry-desk", "v1", id,
+                                         ResponseKind::kSucceeded, 3, now);
                             }
                           }) / kTimes});
   }
--- a/benchmark/ejection_bench.cc
+++ b/benchmark/ejection_bench.cc
@@ -121,28 +121,28 @@
   }
 
   // How long the target takes, and how it answers.
-  std::pair<Duration, AnswerKind> Serve(const std::string& id) {
+  std::pair<Duration, ResponseKind> Serve(const std::string& id) {
     std::exponential_distribution<double> extra(1 / 25000.0);
     const Duration normal =
         Ms(25) + Duration(static_cast<std::int64_t>(extra(this->rng)));
     if (!this->FaultIsOn(this->events.now))
-      return {normal, AnswerKind::kGood};
+      return {normal, ResponseKind::kSucceeded};
     const bool bad = id == "4";
     if (bad && this->fault == Fault::kFailsFast)
-      return {Ms(1), AnswerKind::kFailed};
+      return {Ms(1), ResponseKind::kFailed};
     if (bad && this->fault == Fault::kFailsOften && this->Chance(0.3))
-      return {normal, AnswerKind::kFailed};
+      return {normal, ResponseKind::kFailed};
     if (bad && this->fault == Fault::kHangs)
-      return {kDeadline, AnswerKind::kTimedOut};
+      return {kDeadline, ResponseKind::kTimedOut};
     if (bad && this->fault == Fault::kSlow)
-      return {normal * 6, AnswerKind::kGood};
+      return {normal * 6, ResponseKind::kSucceeded};
     if (this->fault == Fault::kAllFailABit && this->Chance(0.03))
-      return {normal, AnswerKind::kFailed};
+      return {normal, ResponseKind::kFailed};
     if (this->fault == Fault::kAllHangABit && this->Chance(0.01))
-      return {kDeadline, AnswerKind::kTimedOut};
+      return {kDeadline, ResponseKind::kTimedOut};
     if (this->fault == Fault::kAllFail)
-      return {Ms(1), AnswerKind::kFailed};
-    return {normal, AnswerKind::kGood};
+      return {Ms(1), ResponseKind::kFailed};
+    return {normal, ResponseKind::kSucceeded};
   }
 
   void Send() {
@@ -157,7 +157,7 @@
       return;
     }
     const std::string id = (*chosen)->id;
-    OnSent(table, "service", "v1", id);
+    OnRequestSent(table, "service", "v1", id);
     const auto [took, kind] = this->Serve(id);
     this->events.At(this->events.now + took,
                     [this, entry, id, took = took, kind = kind, counts] {
@@ -168,14 +168,14 @@
   void Answered(std::size_t entry,
                 const std::string& id,
                 Duration took,
-                AnswerKind kind,
+                ResponseKind kind,
                 bool counts) {
-    const bool failed = kind != AnswerKind::kGood;
+    const bool failed = kind != ResponseKind::kSucceeded;
     this->outcome.failed += counts && failed;
     this->outcome.slow += counts && !failed && took > kSlowCall;
     const TimePoint before = this->TargetOf(entry, id).ejected_until;
-    OnAnswer(this->tables[entry], "service", "v1", id, kind, -1,
-             this->events.now, took);
+    OnResponse(this->tables[entry], "service", "v1", id, kind, -1,
+               this->events.now, took);
     if (this->policy.window)
       this->CountInWindow(entry, id, took, kind);
     if (this->TargetOf(entry, id).ejected_until != before)
@@ -192,12 +192,12 @@
   void CountInWindow(std::size_t entry,
                      const std::string& id,
                      Duration took,
-                     AnswerKind kind) {
+                     ResponseKind kind) {
     constexpr double kBudget = 10;
     const Duration length = Seconds(10);
     Window& window = this->windows[{entry, id}];
-    double tokens = kind == AnswerKind::kFailed ? 1 : 0;
-    tokens = kind == AnswerKind::kTimedOut ? 10 : tokens;
+    double tokens = kind == ResponseKind::kFailed ? 1 : 0;
+    tokens = kind == ResponseKind::kTimedOut ? 10 : tokens;
     if (this->policy.slow_calls && took > kSlowCall)
       tokens += 1;
     window.entries.push_back({this->events.now, tokens});
@@ -221,7 +221,7 @@
     Target& target = this->TargetOf(entry, id);
     if (out >= 3 || IsEjected(target, this->events.now))
       return;
-    const int doublings = std::min(target.ejections_in_row++, 4);
+    const int doublings = std::min(target.consecutive_ejections++, 4);
     target.ejected_until = this->events.now + Seconds(2) * (1 << doublings);
   }
 
--- a/benchmark/goodput_bench.cc
+++ b/benchmark/goodput_bench.cc
@@ -223,7 +223,7 @@
     request.tried.push_back(id);
     ++request.attempts;
     ++this->result.sent;
-    OnSent(table, "service", "v1", id);
+    OnRequestSent(table, "service", "v1", id);
     const std::size_t gate = std::stoul(id);
     this->events.At(
         this->events.now + this->HopTime(entry, gate),
@@ -242,7 +242,7 @@
     arrival.route = request.lookup ? "lookup" : "report";
     arrival.priority = request.lookup ? Priority::kInternal : Priority::kNormal;
     arrival.deadline = request.deadline;
-    const Arrived arrived =
+    const ArrivalResult arrived =
         Arrive(*this->gates[gate], arrival, this->events.now, this->rng);
     if (arrived.evicted)
       this->Answer(gate, *arrived.evicted);
@@ -273,7 +273,7 @@
     this->Ended(done.request);
     const bool in_time = this->events.now <= done.request.deadline;
     this->Back(done.entry, gate,
-               in_time ? AnswerKind::kGood : AnswerKind::kTimedOut,
+               in_time ? ResponseKind::kSucceeded : ResponseKind::kTimedOut,
                this->events.now - done.sent);
   }
 
@@ -287,10 +287,10 @@
 
   void Back(std::size_t entry,
             std::size_t gate,
-            AnswerKind kind,
+            ResponseKind kind,
             Duration took) {
-    OnAnswer(this->tables[entry], "service", "v1", std::to_string(gate), kind,
-             LoadOf(*this->gates[gate]), this->events.now, took);
+    OnResponse(this->tables[entry], "service", "v1", std::to_string(gate), kind,
+               LoadOf(*this->gates[gate]), this->events.now, took);
   }
 
   // The gatekeeper said "not run": the entry decides on a retry.
@@ -300,7 +300,7 @@
     const std::size_t entry = refused.entry;
     this->events.At(this->events.now + this->HopTime(entry, gate),
                     [this, entry, gate, refused, refusal] {
-                      this->Back(entry, gate, AnswerKind::kShed, Duration{});
+                      this->Back(entry, gate, ResponseKind::kShed, Duration{});
                       this->DecideOnRetry(entry, refused.request, refusal.kind);
                     });
   }
@@ -313,8 +313,8 @@
     attempt.not_run = true;
     attempt.attempts_made = request.attempts;
     attempt.deadline = request.deadline;
-    attempt.attempt_time = request.lookup ? this->settings.lookup_time
-                                          : this->settings.service_time;
+    attempt.min_attempt_time = request.lookup ? this->settings.lookup_time
+                                              : this->settings.service_time;
     if (IsRetry(DecideRetry(this->budgets[entry], attempt, this->events.now)))
       this->Send(entry, request);
     else
--- a/benchmark/placement_bench.cc
+++ b/benchmark/placement_bench.cc
@@ -129,8 +129,8 @@
   [[nodiscard]] Candidate CandidateOf(const Asked& asked, std::size_t to) {
     Candidate candidate;
     candidate.slots = kSlots;
-    candidate.run_time = Duration(
-        static_cast<std::int64_t>(this->gates.at(to)->all_routes.mean_us));
+    candidate.run_time = Duration(static_cast<std::int64_t>(
+        this->gates.at(to)->overall_service_time.mean_us));
     if (to == asked.entry) {
       candidate.distance = Distance::kOwnVm;
       candidate.load = static_cast<std::uint32_t>(LoadOf(*this->gates.at(to)));
@@ -168,8 +168,8 @@
     arrival.aim = asked.first + kAim;
     arrival.deadline = asked.deadline;
     this->held[id] = asked;
-    const Arrived arrived = teaselspread::Arrive(*this->gates.at(to), arrival,
-                                                 this->events.now, this->rng);
+    const ArrivalResult arrived = teaselspread::Arrive(
+        *this->gates.at(to), arrival, this->events.now, this->rng);
     if (arrived.refusal)
       this->Refused(*arrived.refusal);
     else if (arrived.admission == Admission::kRun)
--- a/benchmark/requests_bench.cc
+++ b/benchmark/requests_bench.cc
@@ -75,9 +75,9 @@
   Measure("sent and answered: " + std::to_string(group_size) + " targets",
           1000000, [&] {
             const std::string& id = ids[rng() % ids.size()];
-            OnSent(table, "service-0", "v1", id);
-            OnAnswer(table, "service-0", "v1", id, AnswerKind::kGood, 3,
-                     kStart);
+            OnRequestSent(table, "service-0", "v1", id);
+            OnResponse(table, "service-0", "v1", id, ResponseKind::kSucceeded,
+                       3, kStart);
           });
 }
 
--- a/examples/one_node_decides.cc
+++ b/examples/one_node_decides.cc
@@ -37,7 +37,7 @@
   arrival.deadline = now + route->deadline;
   for (const std::uint64_t id : {1, 2}) {
     arrival.id = id;
-    const Arrived arrived = Arrive(gate, arrival, now, rng);
+    const ArrivalResult arrived = Arrive(gate, arrival, now, rng);
     std::cout << "request " << id << " " << NameOf(arrived.admission) << "\n";
   }
   now += std::chrono::milliseconds(5);
--- a/include/teaselspread/admission.h
+++ b/include/teaselspread/admission.h
@@ -30,11 +30,11 @@
 
 struct GatekeeperSettings {
   int slots = 1;
-  int connections = 128;
+  int max_connections = 128;
   int queue_limit = 64;
   std::size_t body_memory_bytes = 256U << 20;
   // Suspects that may wait for their turn to run alone.
-  int most_suspects_waiting = 4;
+  int max_waiting_suspects = 4;
   WaitingSettings waiting;
   // Least Retry-After; the estimated time to clear the queue is added.
   Duration retry_after = std::chrono::milliseconds(500);
@@ -69,7 +69,7 @@
 
 // What Arrive decided. `refusal` is set for kRefused; `evicted` is a waiting
 // request that had to make room for a more urgent one.
-struct Arrived {
+struct ArrivalResult {
   Admission admission = Admission::kRefused;
   std::optional<Refusal> refusal;
   std::optional<Refusal> evicted;
@@ -84,7 +84,7 @@
 using QueueHook = boost::intrusive::set_base_hook<>;
 
 // One request between Arrive and Finish.
-struct Held : QueueHook {
+struct HeldRequest : QueueHook {
   Arrival arrival;
   std::uint64_t order = 0;
   bool running = false;
@@ -95,20 +95,22 @@
 // have little time left: by deadline they would overtake those who came first,
 // and those would be late as well.
 struct RunsBefore {
-  bool operator()(const Held& a, const Held& b) const;
+  bool operator()(const HeldRequest& a, const HeldRequest& b) const;
 };
 
 // The state of one gate. Not thread safe; every function below takes it alone.
 struct Gatekeeper {
   GatekeeperSettings settings;
   // Declared before the queue, which must be unlinked first.
-  std::unordered_map<std::uint64_t, std::unique_ptr<Held>> held;
-  boost::intrusive::set<Held, boost::intrusive::compare<RunsBefore>> queue;
-  boost::intrusive::set<Held, boost::intrusive::compare<RunsBefore>> suspects;
+  std::unordered_map<std::uint64_t, std::unique_ptr<HeldRequest>> held;
+  boost::intrusive::set<HeldRequest, boost::intrusive::compare<RunsBefore>>
+      queue;
+  boost::intrusive::set<HeldRequest, boost::intrusive::compare<RunsBefore>>
+      suspect_queue;
   ServiceTimes service_times;
-  ServiceTime all_routes;
+  ServiceTime overall_service_time;
   int running = 0;
-  int connections = 0;
+  int open_connections = 0;
   std::size_t body_bytes = 0;
   std::uint64_t next_order = 0;
   bool ready = true;
@@ -133,23 +135,23 @@
 // A request came in. Precondition: arrival.id is not held. Refuses with
 // kNotReady, kLeaving, kDeadlineTooShort, kMemoryBudget, kQueueFull or
 // kCrashSuspect. Not thread safe.
-[[nodiscard]] Arrived Arrive(Gatekeeper& gate,
-                             const Arrival& arrival,
-                             TimePoint now,
-                             Rng& rng);
+[[nodiscard]] ArrivalResult Arrive(Gatekeeper& gate,
+                                   const Arrival& arrival,
+                                   TimePoint now,
+                                   Rng& rng);
 
 // The run of `id` ended after `took`; `counts` is false for a run that says
 // nothing of the service time (refused connection, cancelled). Unknown ids are
 // ignored. Not thread safe.
 [[nodiscard]] GateActions Finish(Gatekeeper& gate,
                                  std::uint64_t id,
-                                 Duration took,
-                                 bool counts,
+                                 Duration run_time,
+                                 bool updates_estimate,
                                  TimePoint now,
                                  Rng& rng);
 
 // The caller of a waiting request went away. Not thread safe.
-void Withdraw(Gatekeeper& gate, std::uint64_t id);
+void CancelWaiting(Gatekeeper& gate, std::uint64_t id);
 
 // Gives up on waiting requests that cannot make their deadline any more
 // (kQueueTimeout). Not thread safe.
@@ -178,11 +180,12 @@
 [[nodiscard]] Duration QueuedTime(const Gatekeeper& gate);
 
 // Forgets the times of routes that are gone. Not thread safe.
-void KeepTimesOf(Gatekeeper& gate, const std::set<std::string_view>& routes);
+void RetainServiceTimes(Gatekeeper& gate,
+                        const std::set<std::string_view>& routes);
 
 // Time that a request of `route` is expected to run. Not thread safe.
-[[nodiscard]] Duration ExpectedTime(const Gatekeeper& gate,
-                                    std::string_view route);
+[[nodiscard]] Duration ExpectedServiceTime(const Gatekeeper& gate,
+                                           std::string_view route);
 
 }  // namespace teaselspread
 
--- a/include/teaselspread/edge.h
+++ b/include/teaselspread/edge.h
@@ -106,7 +106,7 @@
   std::int64_t born_ms = 0;
 };
 
-using UpstreamCall = std::variant<UpstreamReport, LeaveCall>;
+using UpstreamCall = std::variant<UpstreamHeartbeat, LeaveCall>;
 
 // Names of the headers that carry what the node needs to know or to tell.
 struct EdgeHeaderNames {
--- a/include/teaselspread/placement.h
+++ b/include/teaselspread/placement.h
@@ -19,8 +19,8 @@
 
 struct PlacementSettings {
   // Time for a request and its answer on the way, by distance.
-  Duration own_data_center_way = std::chrono::microseconds(400);
-  Duration other_data_center_way = std::chrono::microseconds(3000);
+  Duration own_data_center_round_trip = std::chrono::microseconds(400);
+  Duration other_data_center_round_trip = std::chrono::microseconds(3000);
   // Reluctance to use a line between data centres, for a request of the usual
   // size and as a part of what an answer is worth: another data centre has to
   // lower the chance of a late answer by about this much. It grows with the
@@ -39,9 +39,9 @@
   // one, delays nobody.
   double wait_weight = 2;
   // Aim of a route that names none.
-  Duration unknown_aim = std::chrono::milliseconds(300);
+  Duration default_aim = std::chrono::milliseconds(300);
   // Time of a run while no upstream was measured.
-  Duration unknown_time = std::chrono::milliseconds(100);
+  Duration default_run_time = std::chrono::milliseconds(100);
   // How much slower an upstream runs with all slots taken than with none.
   double busy_factor = 0.3;
   // Random part of the cost, so that nodes which see the same figures do not
@@ -56,9 +56,9 @@
   // Time left in which an answer is worth most; zero when nobody said.
   Duration aim{};
   // It goes before all that waits.
-  bool goes_first = false;
+  bool skips_queue = false;
   // Mean bytes of the requests that are placed here; zero when unknown.
-  double usual_bytes = 0;
+  double mean_bytes = 0;
 };
 
 // One upstream that may take the request.
@@ -73,12 +73,12 @@
   // measured.
   Duration run_time{};
   // The same over all routes: how often a slot frees.
-  Duration mean_time{};
+  Duration mean_run_time{};
   // Those of `load` that wait, as its gate told, and the time that they take.
   std::uint32_t waiting = 0;
-  Duration queued{};
+  Duration queued_time{};
   // Failures among the last answers, 0..1.
-  double failure_share = 0;
+  double failure_ratio = 0;
 };
 
 // Cost of one candidate as a part of what the answer is worth: the chance that
--- a/include/teaselspread/retry.h
+++ b/include/teaselspread/retry.h
@@ -16,11 +16,11 @@
   kRetriedNotRun,
   kRetriedIdempotent,
   kRefusedMayHaveRun,
-  kRefusedNoUse,
+  kRefusedNotRetryable,
   kRefusedDeadline,
   kRefusedBudget,
   kRefusedAttempts,
-  kRefusedNoOther,
+  kRefusedNoOtherUpstream,
   kCount,
 };
 
@@ -29,10 +29,10 @@
 
 struct RetrySettings {
   // Retries for each first attempt, over the long run.
-  double share = 0.1;
+  double retry_ratio = 0.1;
   // Most retries that can be saved up: what a quiet node may send at once.
   double burst = 10;
-  int most_attempts = 3;
+  int max_attempts = 3;
 };
 
 // A token bucket that first attempts fill and retries empty. Under a lasting
@@ -52,10 +52,10 @@
   bool idempotent = false;
   int attempts_made = 1;
   // An upstream that was not tried yet exists.
-  bool other_upstream = true;
+  bool has_other_upstream = true;
   TimePoint deadline;
   // Least time that an attempt needs on this route.
-  Duration attempt_time{};
+  Duration min_attempt_time{};
 };
 
 // A first attempt was made: adds to the budget. Not thread safe.
@@ -72,7 +72,7 @@
 
 // Retry-After for a refused caller: `base` spread evenly over [base, 2 base),
 // so that those refused together do not return together. Thread safe.
-[[nodiscard]] Duration SpreadRetryAfter(Duration base, Rng& rng);
+[[nodiscard]] Duration JitteredRetryAfter(Duration base, Rng& rng);
 
 }  // namespace teaselspread
 
--- a/include/teaselspread/routing.h
+++ b/include/teaselspread/routing.h
@@ -36,7 +36,12 @@
                                             std::string_view path);
 
 // How an upstream's answer counts for ejection. Shedding is load, not a fault.
-enum class AnswerKind : std::uint8_t { kGood, kFailed, kTimedOut, kShed };
+enum class ResponseKind : std::uint8_t {
+  kSucceeded,
+  kFailed,
+  kTimedOut,
+  kShed
+};
 
 // When a target is taken out because its answers fail.
 struct EjectionSettings {
@@ -47,11 +52,11 @@
   // target that hangs answers so few that the row is long in coming.
   int timeout_weight = 2;
   // First time out; doubles with each ejection in a row up to the longest.
-  Duration base_time = std::chrono::seconds(2);
-  Duration longest_time = std::chrono::seconds(60);
+  Duration base_ejection_time = std::chrono::seconds(2);
+  Duration max_ejection_time = std::chrono::seconds(60);
   // Largest share of a group that may be out. A fault of everything behind the
   // targets (a shared store, say) would otherwise eject all of them.
-  double max_share = 0.34;
+  double max_ejected_fraction = 0.34;
 };
 
 // How answers change the choice between two targets, short of ejection. Both
@@ -67,22 +72,22 @@
 struct Target {
   std::string id;
   Address http;
-  bool own = false;
+  bool is_own = false;
   int slots = 1;
   TimePoint ready_since;
   Duration warm_up{};
   // This node's requests that are under way there.
   int in_flight = 0;
   // Load of other nodes' requests, from the last answer; fades with its age.
-  double others_load = 0;
-  TimePoint load_seen;
+  double other_nodes_load = 0;
+  TimePoint load_reported_at;
   // Moving averages over the last ten or so answers; they fade with age, so
   // that a target which was bad is tried again.
-  double failure_share = 0;
+  double failure_ratio = 0;
   double latency_us = 0;
-  TimePoint answered;
-  int failures_in_row = 0;
-  int ejections_in_row = 0;
+  TimePoint last_response_at;
+  int consecutive_failures = 0;
+  int consecutive_ejections = 0;
   TimePoint ejected_until;
 };
 
@@ -91,7 +96,7 @@
   // Sorted by id.
   std::vector<Target> targets;
   // Index of the upstream beside this node, or -1.
-  int own = -1;
+  int own_index = -1;
 };
 
 // What one node knows of all upstreams in its data centre.
@@ -131,23 +136,23 @@
 
 // A request was sent to the target `id`. Unknown ids are ignored. Not thread
 // safe.
-void OnSent(UpstreamTable& table,
-            std::string_view service,
-            std::string_view version,
-            std::string_view id);
+void OnRequestSent(UpstreamTable& table,
+                   std::string_view service,
+                   std::string_view version,
+                   std::string_view id);
 
 // The answer of one earlier OnSent. `load` is what the answer carried back:
 // running and waiting requests at that gatekeeper, or -1 if it carried none.
 // `took` is the time from OnSent; leave it out if it says nothing of the
 // target. Not thread safe.
-void OnAnswer(UpstreamTable& table,
-              std::string_view service,
-              std::string_view version,
-              std::string_view id,
-              AnswerKind kind,
-              int load,
-              TimePoint now,
-              Duration took = Duration{});
+void OnResponse(UpstreamTable& table,
+                std::string_view service,
+                std::string_view version,
+                std::string_view id,
+                ResponseKind kind,
+                int load,
+                TimePoint now,
+                Duration response_time = Duration{});
 
 // Share of full weight that a target has while it warms up, 0.1..1. Thread
 // safe.
--- a/include/teaselspread/suspects.h
+++ b/include/teaselspread/suspects.h
@@ -52,9 +52,9 @@
 
 struct SuspectSettings {
   // How long a crash counts after the last one.
-  Duration memory = std::chrono::minutes(10);
+  Duration retention = std::chrono::minutes(10);
   // Crashes not cleared by a clean run after which a request is refused.
-  std::uint32_t most_crashes = 2;
+  std::uint32_t crash_limit = 2;
 };
 
 struct SuspectTable {
--- a/include/teaselspread/time_spent.h
+++ b/include/teaselspread/time_spent.h
@@ -22,19 +22,19 @@
   // Part of a route's requests that give one deadline, to the millisecond, for
   // it to count as one of first attempts. What is left of a deadline is spread
   // over hundreds of milliseconds.
-  double usual_part = 0.05;
+  double usual_fraction = 0.05;
   // Requests before anything is said.
-  double least_seen = 20;
+  double min_requests = 20;
   // Counts are halved when so many were seen, so that a new usual deadline is
   // learnt.
-  double most_seen = 500;
+  double max_requests = 500;
 };
 
 // The deadlines that the callers of one route gave, in milliseconds.
 struct DeadlineHistory {
   TimeSpentSettings settings;
   std::map<std::int64_t, double> counts;
-  double seen = 0;
+  double total = 0;
 };
 
 void RecordDeadline(DeadlineHistory& history, Duration deadline);
--- a/include/teaselspread/upstream_lease.h
+++ b/include/teaselspread/upstream_lease.h
@@ -16,7 +16,7 @@
 namespace teaselspread {
 
 // One heartbeat, checked and decoded.
-struct UpstreamReport {
+struct UpstreamHeartbeat {
   // Identity of the process; a restart may or may not keep it.
   std::string instance;
   std::string service;
@@ -29,11 +29,11 @@
   // processes of one identity apart. 0 when it was not told.
   std::int64_t born_ms = 0;
   // How much longer the process is slow after its start.
-  Duration warm_up_left{};
+  Duration warm_up_remaining{};
 };
 
-enum class ReportVerdict : std::uint8_t {
-  kTaken,
+enum class HeartbeatResult : std::uint8_t {
+  kAccepted,
   // Sent before one that was taken already, or by a process that is gone.
   kStale,
   // The process has said that it leaves and cannot take that back.
@@ -42,7 +42,7 @@
 };
 
 // Stable name for logs and metrics. Thread safe.
-[[nodiscard]] std::string_view NameOf(ReportVerdict verdict);
+[[nodiscard]] std::string_view NameOf(HeartbeatResult result);
 
 enum class LeaseState : std::uint8_t { kNone, kReady, kLeaving, kLost };
 
@@ -51,10 +51,10 @@
 
 struct LeaseSettings {
   // Heartbeats come at about this interval.
-  Duration heartbeat = std::chrono::milliseconds(1500);
+  Duration heartbeat_interval = std::chrono::milliseconds(1500);
   // Heartbeats that may be missing in a row. They may be seconds late, and a
   // process that answers requests renews its lease with each answer.
-  int missing = 3;
+  int max_missed_heartbeats = 3;
 };
 
 // A process that has said that it leaves.
@@ -62,19 +62,19 @@
   std::string instance;
   // 0 until a heartbeat has shown which process of that name it was.
   std::int64_t born_ms = 0;
-  TimePoint at;
+  TimePoint left_at;
 };
 
 struct UpstreamLease {
   LeaseSettings settings;
-  std::optional<UpstreamReport> current;
+  std::optional<UpstreamHeartbeat> current;
   // The last ones that left without holding the lease. A node that was
   // restarted does not know the upstream whose leave it acknowledges, and a
   // heartbeat sent before the leave may come after it: taken for a new process,
   // it would get requests until it ends.
-  std::deque<LeftProcess> left;
+  std::deque<LeftProcess> left_processes;
   // When the last heartbeat or good answer came.
-  TimePoint renewed;
+  TimePoint renewed_at;
   // Its address took no connection; a newer heartbeat ends this.
   bool refused_connection = false;
   // When the process stops being slow after its start.
@@ -83,20 +83,20 @@
 
 // Takes in one heartbeat. A late one of an earlier process at the same address
 // must not bring that process back: requests would go to a stranger.
-[[nodiscard]] ReportVerdict TakeReport(UpstreamLease& lease,
-                                       const UpstreamReport& report,
-                                       TimePoint now);
+[[nodiscard]] HeartbeatResult OnHeartbeat(UpstreamLease& lease,
+                                          const UpstreamHeartbeat& heartbeat,
+                                          TimePoint now);
 
 // The process `instance` leaves, whether it is known or not. `born_ms` of 0
 // fits any process of that name that holds the lease. False when it does not
 // hold the lease.
-bool TakeLeave(UpstreamLease& lease,
-               std::string_view instance,
-               std::int64_t born_ms,
-               TimePoint now);
+bool OnLeave(UpstreamLease& lease,
+             std::string_view instance,
+             std::int64_t born_ms,
+             TimePoint now);
 
 // It answered a request that named it.
-void OnUpstreamAnswer(UpstreamLease& lease, TimePoint now);
+void OnUpstreamResponse(UpstreamLease& lease, TimePoint now);
 
 // It took no connection, or another process answered in its place.
 void OnUpstreamUnreachable(UpstreamLease& lease);
@@ -104,7 +104,7 @@
 [[nodiscard]] LeaseState StateOf(const UpstreamLease& lease, TimePoint now);
 
 // When the lease runs out by itself; the epoch when none is held.
-[[nodiscard]] TimePoint LapseOf(const UpstreamLease& lease);
+[[nodiscard]] TimePoint ExpiryOf(const UpstreamLease& lease);
 
 }  // namespace teaselspread
 
--- a/include/teaselspread/upstream_model.h
+++ b/include/teaselspread/upstream_model.h
@@ -37,11 +37,12 @@
 // Brings `told` up to date with `measured`. A time changes with every run, and
 // each change that is told costs every node a frame: it is told again when it
 // is off by more than a fifth. Routes beyond the first 32 are left out.
-void RefreshTold(std::vector<RouteTime>& told, const ServiceTimes& measured);
+void UpdateReportedTimes(std::vector<RouteTime>& reported,
+                         const ServiceTimes& measured);
 
 // The time told for `route`; zero for none.
-[[nodiscard]] Duration TimeOf(const std::vector<RouteTime>& told,
-                              std::string_view route);
+[[nodiscard]] Duration ReportedTimeOf(const std::vector<RouteTime>& reported,
+                                      std::string_view route);
 
 }  // namespace teaselspread
 
--- a/include/teaselspread/weighted_turns.h
+++ b/include/teaselspread/weighted_turns.h
@@ -10,7 +10,7 @@
 namespace teaselspread {
 
 // The credit of each part; carries over from turn to turn.
-struct WeightedTurns {
+struct WeightedRoundRobin {
   std::vector<std::int64_t> credits;
 };
 
@@ -19,8 +19,8 @@
 // would be off by several in a hundred over some hundred requests. Starts anew
 // when the number of parts changes. Precondition: some weight is above zero.
 // Not thread safe.
-[[nodiscard]] std::size_t NextTurn(WeightedTurns& turns,
-                                   std::span<const std::uint32_t> weights);
+[[nodiscard]] std::size_t NextIndex(WeightedRoundRobin& round_robin,
+                                    std::span<const std::uint32_t> weights);
 
 }  // namespace teaselspread
 
--- a/src/admission/estimate.h
+++ b/src/admission/estimate.h
@@ -10,9 +10,9 @@
 namespace teaselspread {
 
 // One run of `route` took this long. Not thread safe.
-void LearnServiceTime(Gatekeeper& gate,
-                      const std::string& route,
-                      Duration took);
+void RecordServiceTime(Gatekeeper& gate,
+                       const std::string& route,
+                       Duration run_time);
 
 // Time until a slot frees for a request behind waiting ones that take `ahead`
 // together. Not thread safe.
@@ -26,9 +26,9 @@
 // The last moment at which a request that arrives now may be expected to start
 // and still be let in to wait: earlier than LatestStart where answers are worth
 // less after the aim. Not thread safe.
-[[nodiscard]] TimePoint LatestStartToWait(const Gatekeeper& gate,
-                                          const Arrival& arrival,
-                                          TimePoint now);
+[[nodiscard]] TimePoint LatestAdmissibleStart(const Gatekeeper& gate,
+                                              const Arrival& arrival,
+                                              TimePoint now);
 
 }  // namespace teaselspread
 
--- a/src/admission/shortage.cc
+++ b/src/admission/shortage.cc
@@ -9,26 +9,26 @@
 
 // Rows kept at most: routes that make calls are few, and a node that is told of
 // more than this is told nonsense.
-constexpr std::size_t kMostCalls = 64;
+constexpr std::size_t kMaxCalls = 64;
 
-double CountNow(const ShortageSettings& settings,
-                const FadingCount& fading,
-                TimePoint now) {
-  const auto age = static_cast<double>((now - fading.at).count());
-  const auto memory = static_cast<double>(settings.memory.count());
-  return fading.count * std::exp(-std::max(age, 0.0) / memory);
+double DecayedCount(const ShortageSettings& settings,
+                    const DecayingCount& decaying,
+                    TimePoint now) {
+  const auto age = static_cast<double>((now - decaying.updated_at).count());
+  const auto decay_time = static_cast<double>(settings.decay_time.count());
+  return decaying.count * std::exp(-std::max(age, 0.0) / decay_time);
 }
 
-void Count(const ShortageSettings& settings,
-           FadingCount& fading,
-           double more,
-           TimePoint now) {
-  fading.count = CountNow(settings, fading, now) + more;
-  fading.at = now;
+void AddToCount(const ShortageSettings& settings,
+                DecayingCount& decaying,
+                double increment,
+                TimePoint now) {
+  decaying.count = DecayedCount(settings, decaying, now) + increment;
+  decaying.updated_at = now;
 }
 
 struct Sums {
-  double asked = 0;
+  double requests = 0;
   double refused = 0;
 };
 
@@ -39,102 +39,104 @@
                   Priority priority,
                   bool refused,
                   TimePoint now) {
-  ShortageTable::Row& row = table.own[{service, priority}];
-  Count(table.settings, row.asked, 1, now);
-  Count(table.settings, row.refused, refused ? 1 : 0, now);
+  ShortageTable::Row& row = table.own_demand[{service, priority}];
+  AddToCount(table.settings, row.requests, 1, now);
+  AddToCount(table.settings, row.refused, refused ? 1 : 0, now);
 }
 
 void RecordCall(ShortageTable& table,
                 const std::string& route,
                 const std::string& service) {
-  if (table.own_calls.size() < kMostCalls)
+  if (table.own_calls.size() < kMaxCalls)
     table.own_calls.insert({route, service});
 }
 
-void KeepRoutes(ShortageTable& table,
-                const std::set<std::string_view>& routes) {
-  std::erase_if(table.own_calls, [&routes](const CallNote& call) {
+void RetainRoutes(ShortageTable& table,
+                  const std::set<std::string_view>& routes) {
+  std::erase_if(table.own_calls, [&routes](const CallReport& call) {
     return !routes.contains(call.route);
   });
 }
 
-std::vector<ShortageNote> ShortageNotes(const ShortageTable& table,
-                                        TimePoint now) {
-  std::vector<ShortageNote> notes;
-  for (const auto& [key, row] : table.own) {
-    ShortageNote note{key.first, key.second, 0, 0};
-    note.refused = static_cast<std::uint32_t>(
-        std::lround(CountNow(table.settings, row.refused, now)));
-    if (note.refused == 0)
+std::vector<ShortageReport> ShortageReportsOf(const ShortageTable& table,
+                                              TimePoint now) {
+  std::vector<ShortageReport> reports;
+  for (const auto& [key, row] : table.own_demand) {
+    ShortageReport report{key.first, key.second, 0, 0};
+    report.refused = static_cast<std::uint32_t>(
+        std::lround(DecayedCount(table.settings, row.refused, now)));
+    if (report.refused == 0)
       continue;
-    note.asked = static_cast<std::uint32_t>(
-        std::lround(CountNow(table.settings, row.asked, now)));
-    notes.push_back(std::move(note));
+    report.requests = static_cast<std::uint32_t>(
+        std::lround(DecayedCount(table.settings, row.requests, now)));
+    reports.push_back(std::move(report));
   }
-  return notes;
+  return reports;
 }
 
-std::vector<CallNote> CallNotes(const ShortageTable& table) {
+std::vector<CallReport> CallReportsOf(const ShortageTable& table) {
   return {table.own_calls.begin(), table.own_calls.end()};
 }
 
-void TakeShortage(ShortageTable& table,
-                  const std::string& node,
-                  std::vector<ShortageNote> notes,
-                  std::vector<CallNote> calls) {
-  table.peers[node] = std::move(notes);
-  if (calls.size() <= kMostCalls)
+void ReplacePeerShortage(ShortageTable& table,
+                         const std::string& node,
+                         std::vector<ShortageReport> reports,
+                         std::vector<CallReport> calls) {
+  table.peer_reports[node] = std::move(reports);
+  if (calls.size() <= kMaxCalls)
     table.peer_calls[node] = std::move(calls);
 }
 
-void ForgetShortage(ShortageTable& table, const std::string& node) {
-  table.peers.erase(node);
+void RemovePeerShortage(ShortageTable& table, const std::string& node) {
+  table.peer_reports.erase(node);
   table.peer_calls.erase(node);
 }
 
-double RefusedShare(const ShortageTable& table,
-                    std::string_view service,
-                    Priority priority,
-                    TimePoint now) {
+double RefusedFraction(const ShortageTable& table,
+                       std::string_view service,
+                       Priority priority,
+                       TimePoint now) {
   Sums sums;
-  for (const auto& [key, row] : table.own) {
+  for (const auto& [key, row] : table.own_demand) {
     if (key.first != service || key.second > priority)
       continue;
-    sums.asked += CountNow(table.settings, row.asked, now);
-    sums.refused += CountNow(table.settings, row.refused, now);
+    sums.requests += DecayedCount(table.settings, row.requests, now);
+    sums.refused += DecayedCount(table.settings, row.refused, now);
   }
-  for (const auto& [node, notes] : table.peers) {
-    for (const ShortageNote& note : notes) {
-      if (note.service != service || note.priority > priority)
+  for (const auto& [node, reports] : table.peer_reports) {
+    for (const ShortageReport& report : reports) {
+      if (report.service != service || report.priority > priority)
         continue;
-      sums.asked += note.asked;
-      sums.refused += note.refused;
+      sums.requests += report.requests;
+      sums.refused += report.refused;
     }
   }
-  if (sums.asked < table.settings.least_asked)
+  if (sums.requests < table.settings.min_requests)
     return 0;
-  return std::min(1.0, sums.refused / sums.asked);
+  return std::min(1.0, sums.refused / sums.requests);
 }
 
-double ShareToShed(const ShortageTable& table,
-                   std::string_view route,
-                   Priority priority,
-                   TimePoint now) {
+double FractionToShed(const ShortageTable& table,
+                      std::string_view route,
+                      Priority priority,
+                      TimePoint now) {
   std::set<std::string_view> services;
-  for (const CallNote& call : table.own_calls) {
+  for (const CallReport& call : table.own_calls) {
     if (call.route == route)
       services.insert(call.service);
   }
   for (const auto& [node, calls] : table.peer_calls) {
-    for (const CallNote& call : calls) {
+    for (const CallReport& call : calls) {
       if (call.route == route)
         services.insert(call.service);
     }
   }
-  double most = 0;
+  double max_refused = 0;
   for (const std::string_view service : services)
-    most = std::max(most, RefusedShare(table, service, priority, now));
-  return std::min(most * table.settings.gain, table.settings.most_shed);
+    max_refused =
+        std::max(max_refused, RefusedFraction(table, service, priority, now));
+  return std::min(max_refused * table.settings.gain,
+                  table.settings.max_shed_fraction);
 }
 
 }  // namespace teaselspread
--- a/src/admission/time_spent.cc
+++ b/src/admission/time_spent.cc
@@ -8,15 +8,15 @@
       .count();
 }
 
-void Halve(DeadlineHistory& history) {
-  history.seen = 0;
+void HalveCounts(DeadlineHistory& history) {
+  history.total = 0;
   for (auto row = history.counts.begin(); row != history.counts.end();) {
     row->second /= 2;
     if (row->second < 1) {
       row = history.counts.erase(row);
       continue;
     }
-    history.seen += row->second;
+    history.total += row->second;
     ++row;
   }
 }
@@ -25,20 +25,20 @@
 
 void RecordDeadline(DeadlineHistory& history, Duration deadline) {
   ++history.counts[MillisOf(deadline)];
-  ++history.seen;
-  if (history.seen >= history.settings.most_seen)
-    Halve(history);
+  ++history.total;
+  if (history.total >= history.settings.max_requests)
+    HalveCounts(history);
 }
 
 Duration TimeSpent(const DeadlineHistory& history, Duration deadline) {
-  if (history.seen < history.settings.least_seen)
+  if (history.total < history.settings.min_requests)
     return Duration{0};
-  const std::int64_t given = MillisOf(deadline);
-  const double usual = history.settings.usual_part * history.seen;
-  for (auto row = history.counts.lower_bound(given);
+  const std::int64_t deadline_ms = MillisOf(deadline);
+  const double usual_count = history.settings.usual_fraction * history.total;
+  for (auto row = history.counts.lower_bound(deadline_ms);
        row != history.counts.end(); ++row) {
-    if (row->second >= usual)
-      return std::chrono::milliseconds(row->first - given);
+    if (row->second >= usual_count)
+      return std::chrono::milliseconds(row->first - deadline_ms);
   }
   return Duration{0};
 }
--- a/src/edge/edge_node.cc
+++ b/src/edge/edge_node.cc
@@ -37,7 +37,7 @@
 
 LeaseSettings LeaseSettingsOf(const EdgeSettings& settings) {
   LeaseSettings lease;
-  lease.heartbeat = settings.heartbeat;
+  lease.heartbeat_interval = settings.heartbeat;
   return lease;
 }
 
@@ -77,8 +77,8 @@
   node.versions.TakeNotes(peer.node, peer.status.moves);
   if (!peer.status.suspects.empty())
     node.gate.TakeSuspectNotes(peer.status.suspects);
-  TakeShortage(node.entry.shortage, peer.node, peer.status.shortages,
-               peer.status.calls);
+  ReplacePeerShortage(node.entry.shortage, peer.node, peer.status.shortages,
+                      peer.status.calls);
 }
 
 void StepMoves(EdgeNode& node) {
@@ -158,7 +158,7 @@
   on.on_lost = [&node](const std::string& name) {
     RefreshVersions(node);
     node.versions.ForgetNode(name);
-    ForgetShortage(node.entry.shortage, name);
+    RemovePeerShortage(node.entry.shortage, name);
     node.entry.OnLost(name);
     ChooseReaderRole(node);
     OnPeerLost(node, name);
@@ -211,17 +211,17 @@
     Answer(*exchange, node.adapter.acknowledge());
     return;
   }
-  const auto& report = std::get<UpstreamReport>(*call);
-  const ReportVerdict verdict = node.gate.Report(report);
+  const auto& report = std::get<UpstreamHeartbeat>(*call);
+  const HeartbeatResult verdict = node.gate.Report(report);
   node.heartbeats.Add(verdict);
-  if (verdict != ReportVerdict::kTaken) {
+  if (verdict != HeartbeatResult::kAccepted) {
     Log(LogLevel::kWarning, "admin", "heartbeat-not-taken",
         {{"instance", report.instance},
          {"verdict", NameOf(verdict)},
          {"sequence", report.sequence},
          {"born_ms", report.born_ms}});
   }
-  if (verdict == ReportVerdict::kStale) {
+  if (verdict == HeartbeatResult::kStale) {
     Answer(*exchange, ErrorResponse(Error{ErrorKind::kStaleVersion,
                                           "a later heartbeat was taken"}));
     return;
@@ -449,8 +449,8 @@
   status.store_lost = node.stopping || !node.orders.InTouch();
   status.moves = node.notes;
   status.suspects = node.gate.SuspectNotes();
-  status.shortages = ShortageNotes(node.entry.shortage, SteadyNow());
-  status.calls = CallNotes(node.entry.shortage);
+  status.shortages = ShortageReportsOf(node.entry.shortage, SteadyNow());
+  status.calls = CallReportsOf(node.entry.shortage);
   node.links.SetStatus(status);
 }
 
--- a/src/edge/edge_node.h
+++ b/src/edge/edge_node.h
@@ -63,7 +63,7 @@
   TimePoint stop_at;
   TimePoint started;
   std::int64_t settings_changed_ns = 0;
-  CounterTable<ReportVerdict> heartbeats;
+  CounterTable<HeartbeatResult> heartbeats;
   Rng rng;
 };
 
--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -71,7 +71,7 @@
   std::set<std::string_view> routes;
   for (const RouteConfig& route : this->snapshot->routes)
     routes.insert(route.name);
-  KeepRoutes(this->shortage, routes);
+  RetainRoutes(this->shortage, routes);
   this->gate.KeepRoutes(routes);
   std::erase_if(this->deadlines, [&routes](const auto& row) {
     return !routes.contains(row.first);
@@ -109,7 +109,7 @@
     std::vector<std::uint32_t> weights;
     for (const WeightedService& part : route->split)
       weights.push_back(part.weight);
-    const std::size_t turn = NextTurn(this->turns[route->name], weights);
+    const std::size_t turn = NextIndex(this->turns[route->name], weights);
     pending.service = route->split[turn].service;
   }
   this->SetTimes(pending);
@@ -152,8 +152,8 @@
 bool Entry::ShedForDependency(std::uint64_t id, Pending& pending) {
   if (pending.nested)
     return false;
-  const double share = ShareToShed(this->shortage, pending.route->name,
-                                   pending.route->priority, SteadyNow());
+  const double share = FractionToShed(this->shortage, pending.route->name,
+                                      pending.route->priority, SteadyNow());
   std::uniform_real_distribution<double> draw(0, 1);
   if (share <= 0 || draw(this->rng) >= share)
     return false;
@@ -169,7 +169,7 @@
   // together may spend, with a margin for windows that cut a burst in two.
   constexpr double kMargin = 0.7;
   const double nodes = static_cast<double>(this->links.Peers().size()) + 1;
-  budget.settings.share = this->settings.retry_share * kMargin;
+  budget.settings.retry_ratio = this->settings.retry_share * kMargin;
   budget.settings.burst =
       std::max(1.0, this->settings.retry_slack * kMargin / nodes);
   if (added)
@@ -189,11 +189,11 @@
     candidate.distance = distance;
     candidate.slots = std::max<std::uint32_t>(status.slots, 1);
     candidate.load = load;
-    candidate.run_time = TimeOf(status.times, pending.route->name);
-    candidate.mean_time = std::chrono::milliseconds(status.mean_ms);
+    candidate.run_time = ReportedTimeOf(status.times, pending.route->name);
+    candidate.mean_run_time = std::chrono::milliseconds(status.mean_ms);
     candidate.waiting = status.waiting;
-    candidate.queued = std::chrono::milliseconds(status.queued_ms);
-    candidate.failure_share = this->FailureShare(std::string(node), now);
+    candidate.queued_time = std::chrono::milliseconds(status.queued_ms);
+    candidate.failure_ratio = this->FailureShare(std::string(node), now);
     candidates.push_back(candidate);
   };
   // Keeps those of the best rank only.
@@ -261,12 +261,12 @@
   if (this->usual_bytes == 0)
     this->usual_bytes = bytes;
   this->usual_bytes += kNewestSize * (bytes - this->usual_bytes);
-  placed.usual_bytes = this->usual_bytes;
+  placed.mean_bytes = this->usual_bytes;
   const TimePoint now = SteadyNow();
   const std::optional<TimePoint> aim = AimOf(pending);
   const TimePoint due = aim && *aim > now ? *aim : pending.deadline;
   placed.aim = std::max(due - now, kLeastTime);
-  placed.goes_first = pending.nested;
+  placed.skips_queue = pending.nested;
   return placed;
 }
 
@@ -446,9 +446,9 @@
   // While a move runs, a repeat goes where most requests go: the answer that
   // failed may be the new version's fault.
   pending.picked = this->versions.Pick(pending.service);
-  failed.other_upstream = !this->CandidatesFor(pending).empty();
+  failed.has_other_upstream = !this->CandidatesFor(pending).empty();
   failed.deadline = pending.deadline;
-  failed.attempt_time = kLeastTime;
+  failed.min_attempt_time = kLeastTime;
   RetryBudget& budget = this->BudgetOf(pending.service);
   const RetryReason reason = DecideRetry(budget, failed, SteadyNow());
   this->counters.retries.Add(reason);
--- a/src/edge/entry.h
+++ b/src/edge/entry.h
@@ -183,7 +183,7 @@
   SnapshotPtr snapshot;
   std::unordered_map<std::uint64_t, Pending> open;
   std::uint64_t next_id = 1;
-  std::map<std::string, WeightedTurns> turns;
+  std::map<std::string, WeightedRoundRobin> turns;
   std::map<std::string, DeadlineHistory> deadlines;
   // Moving average of the bytes of an answer, by route.
   std::map<std::string, double> answer_bytes;
--- a/src/edge/entry_answers.cc
+++ b/src/edge/entry_answers.cc
@@ -71,7 +71,7 @@
     kind = ErrorKind::kOutcomeUnknown;
   if (kind == ErrorKind::kPeerUnreachable && pending.may_have_run)
     kind = ErrorKind::kOutcomeUnknown;
-  const Duration spread = SpreadRetryAfter(retry_after, this->rng);
+  const Duration spread = JitteredRetryAfter(retry_after, this->rng);
   HttpResponse response = ErrorWith(kind, spread);
   const HttpRequest& request = pending.exchange->request;
   SetHeader(response.headers, kHeaderRequestId,
@@ -99,7 +99,7 @@
   const std::string_view request_id =
       FindHeader(request.headers, kHeaderRequestId);
   HttpResponse response =
-      ErrorWith(kind, SpreadRetryAfter(kEntryRetryAfter, this->rng));
+      ErrorWith(kind, JitteredRetryAfter(kEntryRetryAfter, this->rng));
   if (!request_id.empty())
     SetHeader(response.headers, kHeaderRequestId, request_id);
   Log(LogLevel::kInfo, "requests", "refused",
--- a/src/edge/frames.cc
+++ b/src/edge/frames.cc
@@ -34,12 +34,12 @@
         value.left_minutes);
 }
 template <class C>
-void Fields(C& codec, FieldsOf<C, ShortageNote> value) {
-  codec(value.service, value.asked, value.refused);
+void Fields(C& codec, FieldsOf<C, ShortageReport> value) {
+  codec(value.service, value.requests, value.refused);
   codec.Enum(value.priority, Priority::kBackground);
 }
 template <class C>
-void Fields(C& codec, FieldsOf<C, CallNote> value) {
+void Fields(C& codec, FieldsOf<C, CallReport> value) {
   codec(value.route, value.service);
 }
 template <class C>
--- a/src/edge/frames.h
+++ b/src/edge/frames.h
@@ -59,8 +59,8 @@
   std::vector<SuspectNote> suspects;
   // Services that had no room for this node's requests, and calls that running
   // requests make.
-  std::vector<ShortageNote> shortages;
-  std::vector<CallNote> calls;
+  std::vector<ShortageReport> shortages;
+  std::vector<CallReport> calls;
 
   bool operator==(const GateStatus&) const = default;
 };
--- a/src/edge/gate.cc
+++ b/src/edge/gate.cc
@@ -94,7 +94,7 @@
   this->lease.settings = lease_settings;
   this->keeper.settings.retry_after = kLeastRetryAfter;
   this->keeper.ready = false;
-  this->suspects.settings.most_crashes = kMostCrashes;
+  this->suspects.settings.crash_limit = kMostCrashes;
 }
 
 void Gate::Run(std::uint64_t id, RunFrame frame, ResultHandler done) {
@@ -131,7 +131,7 @@
     this->Refuse(id, {id, ErrorKind::kCrashSuspect, kLeastRetryAfter});
     return;
   }
-  const Arrived arrived = Arrive(this->keeper, arrival, now, this->rng);
+  const ArrivalResult arrived = Arrive(this->keeper, arrival, now, this->rng);
   if (arrived.evicted)
     this->Refuse(arrived.evicted->id, *arrived.evicted);
   if (arrived.refusal) {
@@ -204,7 +204,7 @@
     if (wrong_process) {
       this->LoseUpstream("another-process-answered");
     } else {
-      OnUpstreamAnswer(this->lease, now);
+      OnUpstreamResponse(this->lease, now);
     }
     if (wrong_process || (says_not_run && status != kHttpBadRequest)) {
       frame.answered = false;
@@ -282,7 +282,7 @@
     return;
   GateRun& run = found->second;
   if (run.started == TimePoint{}) {
-    Withdraw(this->keeper, id);
+    CancelWaiting(this->keeper, id);
     this->runs.erase(found);
     return;
   }
@@ -329,15 +329,15 @@
        {"slots", knows_slots ? slots : 0}});
   if (response.status != kOk || instance.empty() || !knows_slots || slots < 1)
     return;
-  UpstreamReport report;
+  UpstreamHeartbeat report;
   report.instance = std::string(instance);
   report.service = service;
   report.slots = slots;
   (void)this->Report(report);
 }
 
-ReportVerdict Gate::Report(const UpstreamReport& report) {
-  const ReportVerdict verdict = TakeReport(this->lease, report, SteadyNow());
+HeartbeatResult Gate::Report(const UpstreamHeartbeat& report) {
+  const HeartbeatResult verdict = OnHeartbeat(this->lease, report, SteadyNow());
   this->ApplyLease();
   this->on_change();
   return verdict;
@@ -345,7 +345,7 @@
 
 bool Gate::LeaveUpstream(const LeaveCall& call) {
   const bool known =
-      TakeLeave(this->lease, call.instance, call.born_ms, SteadyNow());
+      OnLeave(this->lease, call.instance, call.born_ms, SteadyNow());
   this->ApplyLease();
   this->on_change();
   return known;
@@ -442,16 +442,16 @@
 }
 
 void Gate::RefreshTimes() {
-  RefreshTold(this->told_times, this->keeper.service_times);
+  UpdateReportedTimes(this->told_times, this->keeper.service_times);
   std::vector<RouteTime> all;
   if (this->told_mean_ms > 0)
     all.push_back({"", this->told_mean_ms});
-  RefreshTold(all, {{"", this->keeper.all_routes}});
+  UpdateReportedTimes(all, {{"", this->keeper.overall_service_time}});
   this->told_mean_ms = all.front().mean_ms;
 }
 
 void Gate::Tick() {
-  if (this->keeper.all_routes.mean_us > 0)
+  if (this->keeper.overall_service_time.mean_us > 0)
     this->RefreshTimes();
   ExpireSuspects(this->suspects, SteadyNow());
   this->ApplyLease();
@@ -477,7 +477,7 @@
        {"instance", this->lease.current ? this->lease.current->instance : ""},
        {"version", version},
        {"sequence", this->lease.current ? this->lease.current->sequence : 0},
-       {"age_ms", MillisOf(now - this->lease.renewed)}});
+       {"age_ms", MillisOf(now - this->lease.renewed_at)}});
   this->applied = state;
   this->applied_version = version;
   this->Apply(SetUpstream(this->keeper, slots, ready, now, this->rng));
--- a/src/edge/gate.h
+++ b/src/edge/gate.h
@@ -72,7 +72,7 @@
   void Probe(const std::string& health_path, const std::string& service);
 
   // A heartbeat; it is in force when this returns.
-  [[nodiscard]] ReportVerdict Report(const UpstreamReport& report);
+  [[nodiscard]] HeartbeatResult Report(const UpstreamHeartbeat& report);
   // False when another process holds the lease.
   bool LeaveUpstream(const LeaveCall& call);
 
@@ -100,7 +100,7 @@
 
   // Forgets what was measured of routes that are gone.
   void KeepRoutes(const std::set<std::string_view>& routes) {
-    KeepTimesOf(this->keeper, routes);
+    RetainServiceTimes(this->keeper, routes);
   }
 
   [[nodiscard]] GateStatus Status() const;
--- a/src/edge/version_choice.cc
+++ b/src/edge/version_choice.cc
@@ -150,7 +150,7 @@
   PickedVersion picked;
   // A node that has moved sends nothing to the old version any more.
   picked.unknown_spare = share < 1;
-  if (NextTurn(this->turns[trial.order.service], weights) != 0) {
+  if (NextIndex(this->turns[trial.order.service], weights) != 0) {
     picked.version = old;
     return picked;
   }
--- a/src/edge/version_choice.h
+++ b/src/edge/version_choice.h
@@ -117,7 +117,7 @@
   std::map<std::string, Versions, std::less<>> ready;
   std::map<std::string, VersionTrial> trials;
   // Turns between the old and the new version, by service.
-  std::map<std::string, WeightedTurns> turns;
+  std::map<std::string, WeightedRoundRobin> turns;
   std::uint64_t life = 0;
   // What the store said before an order was read.
   std::map<std::string, MoveReport> reports;
--- a/src/node/entry.cc
+++ b/src/node/entry.cc
@@ -86,8 +86,8 @@
     if (!target)
       continue;
     ChosenTarget chosen{(*target)->id, version, (*target)->http,
-                        (*target)->own};
-    OnSent(service.table, name, version, chosen.id);
+                        (*target)->is_own};
+    OnRequestSent(service.table, name, version, chosen.id);
     return chosen;
   }
   return Fail(ErrorKind::kNoUpstream, "no upstream of " + name + " is ready");
@@ -140,21 +140,21 @@
   return ReadHopAnswer(std::move(*answer), notes.retry_after);
 }
 
-AnswerKind KindOf(const Result<HttpResponse>& answer) {
+ResponseKind KindOf(const Result<HttpResponse>& answer) {
   if (answer)
-    return answer->status >= kServerError ? AnswerKind::kFailed
-                                          : AnswerKind::kGood;
+    return answer->status >= kServerError ? ResponseKind::kFailed
+                                          : ResponseKind::kSucceeded;
   const ErrorKind kind = answer.error().kind;
   if (kind == ErrorKind::kTimeout || kind == ErrorKind::kSilentConnection)
-    return AnswerKind::kTimedOut;
+    return ResponseKind::kTimedOut;
   // A gatekeeper's refusal is load or policy, not a fault of the upstream.
   if (AnswerOf(kind).execution == Execution::kNotRun &&
       kind != ErrorKind::kConnectFailed)
-    return AnswerKind::kShed;
+    return ResponseKind::kShed;
   if (kind == ErrorKind::kCancelled || kind == ErrorKind::kOutcomeUnknown ||
       kind == ErrorKind::kInProgress)
-    return AnswerKind::kShed;
-  return AnswerKind::kFailed;
+    return ResponseKind::kShed;
+  return ResponseKind::kFailed;
 }
 
 int LoadIn(const Result<HttpResponse>& answer) {
@@ -170,10 +170,10 @@
   attempt.answer = to.own ? RunAtGate(service, call, to.version, attempt.notes)
                           : SendToGate(service, call, to, attempt.notes);
   const std::scoped_lock lock(service.gate);
-  OnAnswer(service.table, call.route->service, to.version, to.id,
-           KindOf(attempt.answer), LoadIn(attempt.answer), SystemNow(),
-           std::chrono::duration_cast<Duration>(
-               std::chrono::steady_clock::now() - began));
+  OnResponse(service.table, call.route->service, to.version, to.id,
+             KindOf(attempt.answer), LoadIn(attempt.answer), SystemNow(),
+             std::chrono::duration_cast<Duration>(
+                 std::chrono::steady_clock::now() - began));
   return attempt;
 }
 
@@ -195,7 +195,8 @@
   failed.attempts_made = static_cast<int>(attempts);
   failed.deadline = call.deadline;
   const std::scoped_lock lock(service.gate);
-  failed.attempt_time = ExpectedTime(service.gatekeeper, call.route->name);
+  failed.min_attempt_time =
+      ExpectedServiceTime(service.gatekeeper, call.route->name);
   return IsRetry(DecideRetry(service.retry_budget, failed, SystemNow()));
 }
 
@@ -260,7 +261,7 @@
         static_cast<std::size_t>(error.kind));
   }
   const Duration spread =
-      SpreadRetryAfter(std::max(retry_after, kFirstRetryAfter), ThreadRng());
+      JitteredRetryAfter(std::max(retry_after, kFirstRetryAfter), ThreadRng());
   return ErrorResponse(error, std::chrono::ceil<std::chrono::seconds>(spread));
 }
 
--- a/src/node/gate.cc
+++ b/src/node/gate.cc
@@ -97,7 +97,7 @@
   const SuspectState state =
       StateOf(service.suspects, fingerprint, SystemNow());
   if (state == SuspectState::kRefused) {
-    notes.retry_after = service.suspects.settings.memory;
+    notes.retry_after = service.suspects.settings.retention;
     return Fail(ErrorKind::kCrashSuspect,
                 "this request was running when upstreams crashed");
   }
@@ -108,7 +108,7 @@
   arrival.deadline = call.deadline;
   arrival.body_bytes = call.request.body.size();
   arrival.suspect = state == SuspectState::kAlone;
-  Arrived arrived =
+  ArrivalResult arrived =
       Arrive(service.gatekeeper, arrival, SystemNow(), service.rng);
   service.table.own_load = LoadOf(service.gatekeeper);
   if (arrived.evicted)
--- a/src/node/requests_service.cc
+++ b/src/node/requests_service.cc
@@ -61,7 +61,7 @@
                   const SnapshotPtr& snapshot) {
   const std::scoped_lock lock(service.gate);
   service.snapshot = snapshot;
-  service.retry_budget.settings.share = snapshot->limits.retry_budget;
+  service.retry_budget.settings.retry_ratio = snapshot->limits.retry_budget;
   const auto own =
       snapshot->services.find(service.upstream.announcement.service);
   if (own != snapshot->services.end())
--- a/src/retry/retry.cc
+++ b/src/retry/retry.cc
@@ -8,13 +8,14 @@
 
 constexpr std::array<std::string_view,
                      static_cast<std::size_t>(RetryReason::kCount)>
-    kNames = {"retried-not-run",  "retried-idempotent", "refused-may-have-run",
-              "refused-no-use",   "refused-deadline",   "refused-budget",
-              "refused-attempts", "refused-no-other"};
+    kReasonNames = {"retried-not-run",      "retried-idempotent",
+                    "refused-may-have-run", "refused-no-use",
+                    "refused-deadline",     "refused-budget",
+                    "refused-attempts",     "refused-no-other"};
 
 // Kinds that a second attempt on another upstream can mend, if the request is
 // idempotent. The caller's own mistakes and its cancellation stay as they are.
-bool MayBeMendedElsewhere(ErrorKind kind) {
+bool MaySucceedElsewhere(ErrorKind kind) {
   const ErrorAnswer& answer = AnswerOf(kind);
   if (answer.retry_elsewhere)
     return true;
@@ -23,18 +24,18 @@
          kind != ErrorKind::kOutcomeUnknown && kind != ErrorKind::kInternal;
 }
 
-RetryReason Judge(const RetryBudget& budget,
-                  const FailedAttempt& attempt,
-                  TimePoint now) {
-  if (!MayBeMendedElsewhere(attempt.kind))
-    return RetryReason::kRefusedNoUse;
+RetryReason EvaluateRetry(const RetryBudget& budget,
+                          const FailedAttempt& attempt,
+                          TimePoint now) {
+  if (!MaySucceedElsewhere(attempt.kind))
+    return RetryReason::kRefusedNotRetryable;
   if (!attempt.not_run && !attempt.idempotent)
     return RetryReason::kRefusedMayHaveRun;
-  if (attempt.attempts_made >= budget.settings.most_attempts)
+  if (attempt.attempts_made >= budget.settings.max_attempts)
     return RetryReason::kRefusedAttempts;
-  if (!attempt.other_upstream)
-    return RetryReason::kRefusedNoOther;
-  if (now + attempt.attempt_time >= attempt.deadline)
+  if (!attempt.has_other_upstream)
+    return RetryReason::kRefusedNoOtherUpstream;
+  if (now + attempt.min_attempt_time >= attempt.deadline)
     return RetryReason::kRefusedDeadline;
   if (budget.tokens < 1)
     return RetryReason::kRefusedBudget;
@@ -45,7 +46,7 @@
 }  // namespace
 
 std::string_view NameOf(RetryReason reason) {
-  return kNames.at(static_cast<std::size_t>(reason));
+  return kReasonNames.at(static_cast<std::size_t>(reason));
 }
 
 bool IsRetry(RetryReason reason) {
@@ -54,21 +55,21 @@
 }
 
 void OnFirstAttempt(RetryBudget& budget) {
-  budget.tokens =
-      std::min(budget.settings.burst, budget.tokens + budget.settings.share);
+  budget.tokens = std::min(budget.settings.burst,
+                           budget.tokens + budget.settings.retry_ratio);
 }
 
 RetryReason DecideRetry(RetryBudget& budget,
                         const FailedAttempt& attempt,
                         TimePoint now) {
-  const RetryReason reason = Judge(budget, attempt, now);
+  const RetryReason reason = EvaluateRetry(budget, attempt, now);
   if (IsRetry(reason))
     budget.tokens -= 1;
   budget.counters.Add(reason);
   return reason;
 }
 
-Duration SpreadRetryAfter(Duration base, Rng& rng) {
+Duration JitteredRetryAfter(Duration base, Rng& rng) {
   if (base <= Duration{})
     return base;
   return base + Duration(rng() % static_cast<std::uint64_t>(base.count()));
--- a/src/routing/choose.cc
+++ b/src/routing/choose.cc
@@ -10,44 +10,47 @@
 constexpr Duration kLoadHalfLife = std::chrono::milliseconds(50);
 // Older than this it says nothing. A remnant of it, however small, would make
 // a target lose every comparison with an idle one that was never heard of.
-constexpr Duration kLoadForgotten = std::chrono::seconds(1);
+constexpr Duration kMaxLoadAge = std::chrono::seconds(1);
 // What answers said of failures and time halves in this time.
-constexpr Duration kAnswersHalfLife = std::chrono::seconds(5);
-constexpr double kLeastWeight = 0.1;
+constexpr Duration kResponseHalfLife = std::chrono::seconds(5);
+constexpr double kMinWeight = 0.1;
 // Draws before a full scan. With the cap on ejections two thirds of a group
 // are in, so that eight draws all miss once in 6,561.
-constexpr int kDraws = 8;
+constexpr int kMaxDraws = 8;
 
-double Fade(Duration age, Duration half_life) {
+double Decay(Duration age, Duration half_life) {
   const auto half = static_cast<double>(half_life.count());
   return half / (half + std::max(0.0, static_cast<double>(age.count())));
 }
 
-double OthersLoad(const Target& target, TimePoint now) {
-  if (now - target.load_seen > kLoadForgotten)
+double OtherNodesLoad(const Target& target, TimePoint now) {
+  if (now - target.load_reported_at > kMaxLoadAge)
     return 0;
-  return target.others_load * Fade(now - target.load_seen, kLoadHalfLife);
+  return target.other_nodes_load *
+         Decay(now - target.load_reported_at, kLoadHalfLife);
 }
 
 double Score(const ChoiceSettings& settings,
              const Target& target,
              TimePoint now) {
-  const double load = target.in_flight + OthersLoad(target, now) + 1;
-  const double failures = target.failure_share *
-                          Fade(now - target.answered, kAnswersHalfLife) *
-                          settings.failure_weight;
+  const double load = target.in_flight + OtherNodesLoad(target, now) + 1;
+  const double failures =
+      target.failure_ratio *
+      Decay(now - target.last_response_at, kResponseHalfLife) *
+      settings.failure_weight;
   return load * (1 + failures) / (target.slots * WarmUpWeight(target, now));
 }
 
 // How many times slower `target` is than `other`; 1 if not known of both.
-double SlownessAgainst(const ChoiceSettings& settings,
-                       const Target& target,
-                       const Target& other,
-                       TimePoint now) {
+double LatencyRatio(const ChoiceSettings& settings,
+                    const Target& target,
+                    const Target& other,
+                    TimePoint now) {
   if (!settings.by_latency || target.latency_us == 0 || other.latency_us == 0)
     return 1;
   const double ratio = target.latency_us / other.latency_us;
-  return 1 + (ratio - 1) * Fade(now - target.answered, kAnswersHalfLife);
+  return 1 +
+         (ratio - 1) * Decay(now - target.last_response_at, kResponseHalfLife);
 }
 
 bool IsBetter(const ChoiceSettings& settings,
@@ -55,7 +58,7 @@
               const Target& other,
               TimePoint now) {
   return Score(settings, target, now) *
-             SlownessAgainst(settings, target, other, now) <
+             LatencyRatio(settings, target, other, now) <
          Score(settings, other, now);
 }
 
@@ -75,12 +78,12 @@
   return table.own_load < own.slots * WarmUpWeight(own, now);
 }
 
-const Target* Draw(const ChoiceSettings& settings,
-                   const TargetGroup& group,
-                   std::span<const std::string> excluded,
-                   TimePoint now,
-                   Rng& rng) {
-  for (int i = 0; i < kDraws; ++i) {
+const Target* DrawTarget(const ChoiceSettings& settings,
+                         const TargetGroup& group,
+                         std::span<const std::string> excluded,
+                         TimePoint now,
+                         Rng& rng) {
+  for (int i = 0; i < kMaxDraws; ++i) {
     const Target& target = group.targets[rng() % group.targets.size()];
     if (IsUsable(target, excluded, now))
       return &target;
@@ -111,8 +114,8 @@
   if (target.warm_up <= Duration{})
     return 1.0;
   const auto age = static_cast<double>((now - target.ready_since).count());
-  const double share = age / static_cast<double>(target.warm_up.count());
-  return std::clamp(share, kLeastWeight, 1.0);
+  const double fraction = age / static_cast<double>(target.warm_up.count());
+  return std::clamp(fraction, kMinWeight, 1.0);
 }
 
 Result<const Target*> ChooseUpstream(const UpstreamTable& table,
@@ -124,15 +127,16 @@
   const TargetGroup* group = FindGroup(table, service, version);
   if (group == nullptr || group->targets.empty())
     return Fail(ErrorKind::kNoUpstream, "no ready upstream of this version");
-  if (group->own >= 0) {
-    const Target& own = group->targets[static_cast<std::size_t>(group->own)];
+  if (group->own_index >= 0) {
+    const Target& own =
+        group->targets[static_cast<std::size_t>(group->own_index)];
     if (IsUsable(own, excluded, now) && OwnHasFreeSlot(table, own, now))
       return &own;
   }
-  const Target* first = Draw(table.choice, *group, excluded, now, rng);
+  const Target* first = DrawTarget(table.choice, *group, excluded, now, rng);
   if (first == nullptr)
     return Fail(ErrorKind::kNoUpstream, "every upstream was tried or is out");
-  const Target* second = Draw(table.choice, *group, excluded, now, rng);
+  const Target* second = DrawTarget(table.choice, *group, excluded, now, rng);
   return IsBetter(table.choice, *second, *first, now) ? second : first;
 }
 
--- a/src/routing/match.cc
+++ b/src/routing/match.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // "/bundles" must not catch "/bundles-archive", which is another route's.
-bool PrefixFits(std::string_view prefix, std::string_view path) {
+bool PrefixMatches(std::string_view prefix, std::string_view path) {
   if (!path.starts_with(prefix))
     return false;
   if (prefix.empty() || prefix.back() == '/' || path.size() == prefix.size())
@@ -22,7 +22,7 @@
   return is_port ? host.substr(0, colon) : host;
 }
 
-bool HostFits(std::string_view wanted, std::string_view host) {
+bool HostMatches(std::string_view wanted, std::string_view host) {
   return wanted.empty() ||
          absl::EqualsIgnoreCase(absl::string_view(wanted.data(), wanted.size()),
                                 absl::string_view(host.data(), host.size()));
@@ -36,9 +36,9 @@
                               std::string_view path) {
   const std::string_view name = WithoutPort(host);
   for (const RouteConfig& route : snapshot.routes) {
-    const bool method_fits = route.method.empty() || route.method == method;
-    if (method_fits && HostFits(route.host, name) &&
-        PrefixFits(route.path_prefix, path))
+    const bool method_matches = route.method.empty() || route.method == method;
+    if (method_matches && HostMatches(route.host, name) &&
+        PrefixMatches(route.path_prefix, path))
       return &route;
   }
   return nullptr;
@@ -48,8 +48,8 @@
                               std::string_view method,
                               std::string_view path) {
   for (const RouteConfig& route : snapshot.routes) {
-    const bool method_fits = route.method.empty() || route.method == method;
-    if (method_fits && PrefixFits(route.path_prefix, path))
+    const bool method_matches = route.method.empty() || route.method == method;
+    if (method_matches && PrefixMatches(route.path_prefix, path))
       return &route;
   }
   return nullptr;
--- a/src/routing/targets.cc
+++ b/src/routing/targets.cc
@@ -25,11 +25,11 @@
                        [](const Target& target, std::string_view wanted) {
                          return target.id < wanted;
                        });
-  const bool is_it = found != group->targets.end() && found->id == id;
-  return is_it ? &*found : nullptr;
+  const bool matches = found != group->targets.end() && found->id == id;
+  return matches ? &*found : nullptr;
 }
 
-bool MayGetWork(const Member& member, std::string_view data_center) {
+bool IsEligible(const Member& member, std::string_view data_center) {
   return member.status == MemberStatus::kAlive &&
          member.upstream.state == UpstreamState::kReady &&
          member.data_center == data_center && member.upstream.slots > 0;
@@ -39,7 +39,7 @@
   Target target;
   target.id = member.id;
   target.http = member.http;
-  target.own = own;
+  target.is_own = own;
   target.slots = member.upstream.slots;
   target.ready_since = member.upstream.ready_since;
   target.warm_up = warm_up;
@@ -48,17 +48,17 @@
 
 // A new ready_since is a new process: what is known of the old one's faults
 // says nothing of it. Requests in flight go on being counted.
-void KeepWhatIsKnown(Target& target, const Target& before) {
+void CopyKnownState(Target& target, const Target& before) {
   target.in_flight = before.in_flight;
   if (target.ready_since != before.ready_since)
     return;
-  target.others_load = before.others_load;
-  target.load_seen = before.load_seen;
-  target.failure_share = before.failure_share;
+  target.other_nodes_load = before.other_nodes_load;
+  target.load_reported_at = before.load_reported_at;
+  target.failure_ratio = before.failure_ratio;
   target.latency_us = before.latency_us;
-  target.answered = before.answered;
-  target.failures_in_row = before.failures_in_row;
-  target.ejections_in_row = before.ejections_in_row;
+  target.last_response_at = before.last_response_at;
+  target.consecutive_failures = before.consecutive_failures;
+  target.consecutive_ejections = before.consecutive_ejections;
   target.ejected_until = before.ejected_until;
 }
 
@@ -68,9 +68,9 @@
             [](const Target& a, const Target& b) { return a.id < b.id; });
   const auto own =
       std::find_if(group.targets.begin(), group.targets.end(),
-                   [](const Target& target) { return target.own; });
+                   [](const Target& target) { return target.is_own; });
   if (own != group.targets.end())
-    group.own = static_cast<int>(own - group.targets.begin());
+    group.own_index = static_cast<int>(own - group.targets.begin());
 }
 
 using TargetIndex = std::unordered_map<std::string_view, const Target*>;
@@ -88,29 +88,30 @@
 
 // A return that failed, or enough failures in a row.
 bool IsFaulty(const EjectionSettings& settings, const Target& target) {
-  if (target.ejections_in_row > 0)
+  if (target.consecutive_ejections > 0)
     return true;
-  return target.failures_in_row >= settings.consecutive_failures;
+  return target.consecutive_failures >= settings.consecutive_failures;
 }
 
 bool MayEjectOneMore(const EjectionSettings& settings,
                      const TargetGroup& group,
                      TimePoint now) {
-  const auto out = std::count_if(
+  const auto ejected = std::count_if(
       group.targets.begin(), group.targets.end(),
       [now](const Target& target) { return IsEjected(target, now); });
   const double allowed =
-      settings.max_share * static_cast<double>(group.targets.size());
-  return static_cast<double>(out + 1) <= allowed;
+      settings.max_ejected_fraction * static_cast<double>(group.targets.size());
+  return static_cast<double>(ejected + 1) <= allowed;
 }
 
 void Eject(const EjectionSettings& settings, Target& target, TimePoint now) {
-  constexpr int kMostDoublings = 10;
-  const int doublings = std::min(target.ejections_in_row, kMostDoublings);
-  const Duration time = settings.base_time * (1 << doublings);
-  target.ejected_until = now + std::min(time, settings.longest_time);
-  ++target.ejections_in_row;
-  target.failures_in_row = 0;
+  constexpr int kMaxDoublings = 10;
+  const int doublings = std::min(target.consecutive_ejections, kMaxDoublings);
+  const Duration ejection_time = settings.base_ejection_time * (1 << doublings);
+  target.ejected_until =
+      now + std::min(ejection_time, settings.max_ejection_time);
+  ++target.consecutive_ejections;
+  target.consecutive_failures = 0;
 }
 
 void CountFailure(const EjectionSettings& settings,
@@ -118,7 +119,7 @@
                   Target& target,
                   int weight,
                   TimePoint now) {
-  target.failures_in_row += weight;
+  target.consecutive_failures += weight;
   if (IsEjected(target, now) || !IsFaulty(settings, target))
     return;
   if (MayEjectOneMore(settings, group, now))
@@ -127,27 +128,27 @@
 
 // Answers to requests sent before an ejection may still be good; they do not
 // show that the target has recovered.
-void CountGoodAnswer(Target& target, TimePoint now) {
-  target.failures_in_row = 0;
+void CountSuccess(Target& target, TimePoint now) {
+  target.consecutive_failures = 0;
   if (!IsEjected(target, now))
-    target.ejections_in_row = 0;
+    target.consecutive_ejections = 0;
 }
 
 // A failure's time is left out: one that fails at once is not quick.
-void LearnFromAnswer(Target& target,
-                     AnswerKind kind,
-                     Duration took,
-                     TimePoint now) {
-  constexpr double kNewest = 0.1;
-  const double failed = kind == AnswerKind::kGood ? 0 : 1;
-  target.failure_share += kNewest * (failed - target.failure_share);
-  target.answered = now;
-  if (kind != AnswerKind::kGood || took <= Duration{})
+void UpdateAverages(Target& target,
+                    ResponseKind kind,
+                    Duration response_time,
+                    TimePoint now) {
+  constexpr double kNewestWeight = 0.1;
+  const double failed = kind == ResponseKind::kSucceeded ? 0 : 1;
+  target.failure_ratio += kNewestWeight * (failed - target.failure_ratio);
+  target.last_response_at = now;
+  if (kind != ResponseKind::kSucceeded || response_time <= Duration{})
     return;
-  const auto took_us = static_cast<double>(took.count());
+  const auto response_time_us = static_cast<double>(response_time.count());
   if (target.latency_us == 0)
-    target.latency_us = took_us;
-  target.latency_us += kNewest * (took_us - target.latency_us);
+    target.latency_us = response_time_us;
+  target.latency_us += kNewestWeight * (response_time_us - target.latency_us);
 }
 
 }  // namespace
@@ -160,7 +161,7 @@
   const TargetIndex before = IndexOf(table);
   decltype(table.services) services;
   for (const Member& member : members) {
-    if (!MayGetWork(member, data_center))
+    if (!IsEligible(member, data_center))
       continue;
     const Announcement& upstream = member.upstream;
     const auto config = snapshot.services.find(upstream.service);
@@ -168,7 +169,7 @@
         config == snapshot.services.end() ? Duration{} : config->second.warm_up;
     Target target = MakeTarget(member, warm_up, member.id == own_id);
     if (const auto known = before.find(member.id); known != before.end())
-      KeepWhatIsKnown(target, *known->second);
+      CopyKnownState(target, *known->second);
     services[upstream.service][upstream.version].targets.push_back(
         std::move(target));
   }
@@ -179,38 +180,38 @@
   table.services = std::move(services);
 }
 
-void OnSent(UpstreamTable& table,
-            std::string_view service,
-            std::string_view version,
-            std::string_view id) {
+void OnRequestSent(UpstreamTable& table,
+                   std::string_view service,
+                   std::string_view version,
+                   std::string_view id) {
   if (Target* target = FindTarget(FindGroup(table, service, version), id))
     ++target->in_flight;
 }
 
-void OnAnswer(UpstreamTable& table,
-              std::string_view service,
-              std::string_view version,
-              std::string_view id,
-              AnswerKind kind,
-              int load,
-              TimePoint now,
-              Duration took) {
+void OnResponse(UpstreamTable& table,
+                std::string_view service,
+                std::string_view version,
+                std::string_view id,
+                ResponseKind kind,
+                int load,
+                TimePoint now,
+                Duration response_time) {
   TargetGroup* group = FindGroup(table, service, version);
   Target* target = FindTarget(group, id);
   if (target == nullptr)
     return;
   target->in_flight = std::max(0, target->in_flight - 1);
   if (load >= 0) {
-    target->others_load = std::max(0, load - target->in_flight);
-    target->load_seen = now;
+    target->other_nodes_load = std::max(0, load - target->in_flight);
+    target->load_reported_at = now;
   }
-  if (kind != AnswerKind::kShed)
-    LearnFromAnswer(*target, kind, took, now);
-  if (kind == AnswerKind::kGood)
-    CountGoodAnswer(*target, now);
-  if (kind == AnswerKind::kFailed)
+  if (kind != ResponseKind::kShed)
+    UpdateAverages(*target, kind, response_time, now);
+  if (kind == ResponseKind::kSucceeded)
+    CountSuccess(*target, now);
+  if (kind == ResponseKind::kFailed)
     CountFailure(table.ejection, *group, *target, 1, now);
-  if (kind == AnswerKind::kTimedOut) {
+  if (kind == ResponseKind::kTimedOut) {
     CountFailure(table.ejection, *group, *target, table.ejection.timeout_weight,
                  now);
   }
--- a/src/routing/weighted_turns.cc
+++ b/src/routing/weighted_turns.cc
@@ -5,16 +5,16 @@
 
 namespace teaselspread {
 
-std::size_t NextTurn(WeightedTurns& turns,
-                     std::span<const std::uint32_t> weights) {
-  if (turns.credits.size() != weights.size())
-    turns.credits.assign(weights.size(), 0);
+std::size_t NextIndex(WeightedRoundRobin& round_robin,
+                      std::span<const std::uint32_t> weights) {
+  if (round_robin.credits.size() != weights.size())
+    round_robin.credits.assign(weights.size(), 0);
   for (std::size_t i = 0; i < weights.size(); ++i)
-    turns.credits[i] += weights[i];
+    round_robin.credits[i] += weights[i];
   const auto best =
-      std::max_element(turns.credits.begin(), turns.credits.end());
+      std::max_element(round_robin.credits.begin(), round_robin.credits.end());
   *best -= std::accumulate(weights.begin(), weights.end(), std::int64_t{0});
-  return static_cast<std::size_t>(best - turns.credits.begin());
+  return static_cast<std::size_t>(best - round_robin.credits.begin());
 }
 
 }  // namespace teaselspread
--- a/src/suspects/suspects.cc
+++ b/src/suspects/suspects.cc
@@ -9,8 +9,8 @@
 namespace teaselspread {
 namespace {
 
-constexpr std::array<std::string_view, 3> kNames = {"clear", "alone",
-                                                    "refused"};
+constexpr std::array<std::string_view, 3> kStateNames = {"clear", "alone",
+                                                         "refused"};
 
 SuspectRow& RowOf(SuspectTable& table,
                   Fingerprint fingerprint,
@@ -24,7 +24,7 @@
   return rows.emplace_back(SuspectRow{fingerprint, origin, 0, 0, {}});
 }
 
-std::uint32_t OpenCrashes(const SuspectRow& row, TimePoint now) {
+std::uint32_t UnclearedCrashes(const SuspectRow& row, TimePoint now) {
   if (row.expires <= now || row.cleared >= row.crashes)
     return 0;
   return row.crashes - row.cleared;
@@ -41,7 +41,7 @@
 }
 
 std::string_view NameOf(SuspectState state) {
-  return kNames.at(static_cast<std::size_t>(state));
+  return kStateNames.at(static_cast<std::size_t>(state));
 }
 
 SuspectState StateOf(const SuspectTable& table,
@@ -50,27 +50,27 @@
   const auto found = table.rows.find(fingerprint);
   if (found == table.rows.end())
     return SuspectState::kClear;
-  std::uint32_t open = 0;
+  std::uint32_t uncleared = 0;
   for (const SuspectRow& row : found->second)
-    open += OpenCrashes(row, now);
-  if (open == 0)
+    uncleared += UnclearedCrashes(row, now);
+  if (uncleared == 0)
     return SuspectState::kClear;
-  return open >= table.settings.most_crashes ? SuspectState::kRefused
-                                             : SuspectState::kAlone;
+  return uncleared >= table.settings.crash_limit ? SuspectState::kRefused
+                                                 : SuspectState::kAlone;
 }
 
 std::vector<SuspectRow> OnCrash(SuspectTable& table,
                                 std::span<const Fingerprint> in_flight,
                                 TimePoint now) {
   const std::set<Fingerprint> distinct(in_flight.begin(), in_flight.end());
-  std::vector<SuspectRow> news;
+  std::vector<SuspectRow> changed;
   for (const Fingerprint fingerprint : distinct) {
     SuspectRow& row = RowOf(table, fingerprint, table.origin);
     ++row.crashes;
-    row.expires = now + table.settings.memory;
-    news.push_back(row);
+    row.expires = now + table.settings.retention;
+    changed.push_back(row);
   }
-  return news;
+  return changed;
 }
 
 std::vector<SuspectRow> OnCleanRun(SuspectTable& table,
@@ -79,20 +79,20 @@
   const auto found = table.rows.find(fingerprint);
   if (found == table.rows.end())
     return {};
-  std::vector<SuspectRow> news;
+  std::vector<SuspectRow> changed;
   for (SuspectRow& row : found->second) {
-    if (OpenCrashes(row, now) == 0)
+    if (UnclearedCrashes(row, now) == 0)
       continue;
     row.cleared = row.crashes;
-    news.push_back(row);
+    changed.push_back(row);
   }
-  return news;
+  return changed;
 }
 
 std::vector<SuspectRow> MergeSuspects(SuspectTable& table,
                                       std::span<const SuspectRow> rows,
                                       TimePoint now) {
-  std::vector<SuspectRow> news;
+  std::vector<SuspectRow> changed;
   for (const SuspectRow& row : rows) {
     if (row.expires <= now)
       continue;
@@ -102,9 +102,9 @@
     own.cleared = std::max(own.cleared, row.cleared);
     own.expires = std::max(own.expires, row.expires);
     if (own != before)
-      news.push_back(own);
+      changed.push_back(own);
   }
-  return news;
+  return changed;
 }
 
 void ExpireSuspects(SuspectTable& table, TimePoint now) {
--- a/tests/contract/platform_test.cc
+++ b/tests/contract/platform_test.cc
@@ -108,12 +108,12 @@
 Test(platform, a_heartbeat_is_decoded) {
   const auto call =
       DecodeUpstreamCall(Call("/instances/i-7/heartbeat", kHeartbeat));
-  const auto& report = std::get<UpstreamReport>(*call);
+  const auto& report = std::get<UpstreamHeartbeat>(*call);
   cr_assert_str_eq(report.instance.c_str(), "i-7");
   cr_assert_str_eq(report.service.c_str(), "desk");
   cr_assert(report.slots == 14 && report.sequence == 4);
   cr_assert(report.born_ms == 1234 && report.leaving);
-  cr_assert(report.warm_up_left == std::chrono::milliseconds(250));
+  cr_assert(report.warm_up_remaining == std::chrono::milliseconds(250));
 }
 
 Test(platform, a_leave_call_needs_no_body) {
--- a/tests/unit/admission_test.cc
+++ b/tests/unit/admission_test.cc
@@ -27,7 +27,7 @@
 void SetUp(Gatekeeper& gate, int slots, Duration service_time) {
   gate.settings.slots = slots;
   const auto mean = static_cast<double>(service_time.count());
-  gate.all_routes.mean_us = mean;
+  gate.overall_service_time.mean_us = mean;
   gate.service_times["filings"].mean_us = mean;
 }
 
@@ -44,7 +44,7 @@
   Rng rng(1);
   int run = 0;
   for (std::uint64_t id = 1; id <= 10; ++id) {
-    const Arrived arrived = Arrive(gate, MakeArrival(id), kStart, rng);
+    const ArrivalResult arrived = Arrive(gate, MakeArrival(id), kStart, rng);
     run += arrived.admission == Admission::kRun;
   }
   cr_assert(run == 3);
@@ -57,7 +57,7 @@
 // Lookups of 10 ms wait before a request that has 60 ms left, beside reads of a
 // second that run and wait nowhere. Counted at the mean of all runs they would
 // take a second together, and a request that could be served is refused.
-Test(admission, a_wait_is_the_time_of_those_that_wait) {
+Test(admission, expected_wait_sums_the_times_of_queued_requests) {
   Gatekeeper gate;
   SetUp(gate, 4, Ms(100));
   gate.service_times["read"].mean_us = 1'000'000;
@@ -85,7 +85,7 @@
 // Callers that were refused come back with little of their time left. Let in by
 // their deadlines they overtake those who come for the first time, whose
 // answers then come late as well: under overload nobody is answered in time.
-Test(admission, callers_that_come_back_do_not_overtake_new_ones) {
+Test(admission, retries_do_not_overtake_first_attempts) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(10));
   Rng rng(1);
@@ -93,10 +93,10 @@
             Admission::kRun);
   Arrival first = MakeArrival(2, Priority::kNormal, Ms(800));
   first.aim = kStart + Ms(300);
-  Arrival returned = MakeArrival(3, Priority::kNormal, Ms(500));
-  returned.aim = kStart + Ms(310);
+  Arrival retry = MakeArrival(3, Priority::kNormal, Ms(500));
+  retry.aim = kStart + Ms(310);
   (void)Arrive(gate, first, kStart, rng);
-  (void)Arrive(gate, returned, kStart, rng);
+  (void)Arrive(gate, retry, kStart, rng);
   const std::vector<std::uint64_t> next = FinishOne(gate, 1, kStart).run;
   cr_assert(next == std::vector<std::uint64_t>(1, 2));
 }
@@ -125,9 +125,9 @@
   Rng rng(1);
   for (std::uint64_t id = 1; id <= 3; ++id)
     (void)Arrive(gate, MakeArrival(id), kStart, rng);
-  const Arrived report = Arrive(gate, MakeArrival(4), kStart, rng);
+  const ArrivalResult report = Arrive(gate, MakeArrival(4), kStart, rng);
   cr_assert(report.refusal->kind == ErrorKind::kQueueFull);
-  const Arrived lookup =
+  const ArrivalResult lookup =
       Arrive(gate, MakeArrival(5, Priority::kInternal), kStart, rng);
   cr_assert(lookup.admission == Admission::kQueued);
   cr_assert(lookup.evicted->id == 3);
@@ -143,7 +143,7 @@
   Rng rng(1);
   for (std::uint64_t id = 1; id <= 10; ++id)
     (void)Arrive(gate, MakeArrival(id), kStart, rng);
-  const Arrived late = Arrive(
+  const ArrivalResult late = Arrive(
       gate, MakeArrival(20, Priority::kBackground, Ms(300)), kStart, rng);
   cr_assert(late.admission == Admission::kRefused);
   cr_assert(late.refusal->kind == ErrorKind::kDeadlineTooShort);
@@ -152,7 +152,7 @@
 
 // The run ahead takes longer than expected. The one behind it is told as soon
 // as it cannot be served any more, not when its deadline has passed.
-Test(admission, a_waiting_request_is_given_up_before_its_deadline) {
+Test(admission, a_waiting_request_is_refused_before_its_deadline) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(100));
   Rng rng(1);
@@ -169,7 +169,7 @@
 
 // Hundreds are refused in the same instant. Told the same Retry-After they
 // would all come back in the same instant, too.
-Test(admission, refused_callers_are_told_different_times) {
+Test(admission, refused_callers_get_different_retry_after_times) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(10));
   gate.settings.queue_limit = 0;
@@ -214,7 +214,7 @@
   cr_assert(actions.refused.size() == 2);
   cr_assert(AnswerOf(actions.refused.front().kind).retry_elsewhere);
   cr_assert(gate.running == 1);
-  const Arrived arrived = Arrive(gate, MakeArrival(4), kStart, rng);
+  const ArrivalResult arrived = Arrive(gate, MakeArrival(4), kStart, rng);
   cr_assert(arrived.refusal->kind == ErrorKind::kLeaving);
 }
 
@@ -238,7 +238,7 @@
 // Callers open more connections than the target accepts.
 Test(admission, connections_stay_within_the_limit) {
   Gatekeeper gate;
-  gate.settings.connections = 2;
+  gate.settings.max_connections = 2;
   cr_assert(OpenConnection(gate));
   cr_assert(OpenConnection(gate));
   cr_assert(!OpenConnection(gate));
--- a/tests/unit/clock_test.cc
+++ b/tests/unit/clock_test.cc
@@ -26,11 +26,11 @@
 // callers would be refused although their upstream is well.
 Test(clock, a_lease_outlives_a_jump_of_the_time_of_day) {
   UpstreamLease lease;
-  UpstreamReport report;
+  UpstreamHeartbeat report;
   report.instance = "i-1";
   report.sequence = 1;
   const TimePoint told = AnchoredTime(kAnchor, TimePoint(Ms(1000)));
-  (void)TakeReport(lease, report, told);
+  (void)OnHeartbeat(lease, report, told);
   // 40 s forward on the wall, 2 s by the steady clock.
   const TimePoint later = AnchoredTime(kAnchor, TimePoint(Ms(3000)));
   cr_assert(StateOf(lease, later) == LeaseState::kReady);
--- a/tests/unit/overload_test.cc
+++ b/tests/unit/overload_test.cc
@@ -16,21 +16,21 @@
 const TimePoint kStart{std::chrono::hours(1)};
 
 struct Tally {
-  int asked = 0;
-  int in_aim = 0;
+  int requests = 0;
+  int within_aim = 0;
   int late = 0;
   // An answer after the aim is worth three tenths of one before it.
-  [[nodiscard]] double Worth() const {
-    return (this->in_aim + 0.3 * this->late) / this->asked;
+  [[nodiscard]] double MeanValue() const {
+    return (this->within_aim + 0.3 * this->late) / this->requests;
   }
 };
 
 // One upstream gets `times` what it can carry for a minute. Answers are worth
 // most within the aim, and callers leave after their deadline.
 struct Load {
-  double times = 1;
+  double overload_factor = 1;
   int slots = 12;
-  double spread = 0.3;
+  double sigma = 0.3;
   Duration aim = Ms(400);
   Duration deadline = Ms(1000);
   // One in so many requests is more urgent than the others; 0 for none.
@@ -48,31 +48,33 @@
   gate.settings.waiting.late_part = load.late_part;
   gate.settings.waiting.wait_part = load.wait_part;
   Rng rng(seed);
-  std::exponential_distribution<> gap(load.times * load.slots / kMeanMs);
+  std::exponential_distribution<> arrival_gap(load.overload_factor *
+                                              load.slots / kMeanMs);
   std::lognormal_distribution<> work(
-      std::log(kMeanMs) - load.spread * load.spread / 2, load.spread);
-  std::map<std::uint64_t, TimePoint> arrived;
-  std::multimap<TimePoint, std::pair<std::uint64_t, Duration>> ends;
+      std::log(kMeanMs) - load.sigma * load.sigma / 2, load.sigma);
+  std::map<std::uint64_t, TimePoint> arrival_times;
+  std::multimap<TimePoint, std::pair<std::uint64_t, Duration>> run_ends;
   Tally tally;
   const auto start = [&](std::uint64_t id, TimePoint now) {
-    const Duration took(static_cast<std::int64_t>(work(rng) * 1000));
-    ends.emplace(now + took, std::pair{id, took});
+    const Duration run_time(static_cast<std::int64_t>(work(rng) * 1000));
+    run_ends.emplace(now + run_time, std::pair{id, run_time});
   };
-  const auto count = [&](std::uint64_t id, TimePoint now) {
-    const auto found = arrived.find(id);
-    if (found == arrived.end())
+  const auto count_response = [&](std::uint64_t id, TimePoint now) {
+    const auto found = arrival_times.find(id);
+    if (found == arrival_times.end())
       return;
-    const Duration since = now - found->second;
-    tally.in_aim += since <= load.aim ? 1 : 0;
-    tally.late += since > load.aim && since <= load.deadline ? 1 : 0;
+    const Duration response_time = now - found->second;
+    tally.within_aim += response_time <= load.aim ? 1 : 0;
+    tally.late +=
+        response_time > load.aim && response_time <= load.deadline ? 1 : 0;
   };
   TimePoint next = kStart;
   std::uint64_t id = 0;
   while (next < kStart + std::chrono::seconds(60)) {
-    if (!ends.empty() && ends.begin()->first <= next) {
-      const auto [now, ended] = *ends.begin();
-      ends.erase(ends.begin());
-      count(ended.first, now);
+    if (!run_ends.empty() && run_ends.begin()->first <= next) {
+      const auto [now, ended] = *run_ends.begin();
+      run_ends.erase(run_ends.begin());
+      count_response(ended.first, now);
       const GateActions actions =
           Finish(gate, ended.first, ended.second, true, now, rng);
       for (const std::uint64_t waiting : actions.run)
@@ -87,12 +89,12 @@
     const bool urgent = load.urgent_every > 0 && rng() % load.urgent_every == 0;
     arrival.priority = urgent ? Priority::kNormal : Priority::kBackground;
     if (!urgent) {
-      arrived[id] = next;
-      ++tally.asked;
+      arrival_times[id] = next;
+      ++tally.requests;
     }
     if (Arrive(gate, arrival, next, rng).admission == Admission::kRun)
       start(id, next);
-    next += Duration(static_cast<std::int64_t>(gap(rng) * 1000));
+    next += Duration(static_cast<std::int64_t>(arrival_gap(rng) * 1000));
   }
   return tally;
 }
@@ -102,23 +104,25 @@
 // little; a queue as long as the aim gives as many answers, in time.
 Test(overload, a_short_queue_keeps_answers_in_time) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    const Tally patient = Replay({.times = 1.5, .late_part = 1}, seed);
-    const Tally aimed = Replay({.times = 1.5}, seed);
-    cr_assert(aimed.Worth() > 1.8 * patient.Worth(), "%.2f against %.2f",
-              aimed.Worth(), patient.Worth());
-    const double answers = aimed.in_aim + aimed.late;
-    cr_assert(answers > 0.95 * (patient.in_aim + patient.late));
+    const Tally long_queue =
+        Replay({.overload_factor = 1.5, .late_part = 1}, seed);
+    const Tally short_queue = Replay({.overload_factor = 1.5}, seed);
+    cr_assert(short_queue.MeanValue() > 1.8 * long_queue.MeanValue(),
+              "%.2f against %.2f", short_queue.MeanValue(),
+              long_queue.MeanValue());
+    const double answers = short_queue.within_aim + short_queue.late;
+    cr_assert(answers > 0.95 * (long_queue.within_aim + long_queue.late));
   }
 }
 
 // More comes than can be carried, for long. A queue as long as the aim
 // allows on paper fills up and stays full, and each request in it is overtaken
 // by more urgent ones: callers wait, and most answers come just too late.
-Test(overload, those_that_are_overtaken_still_answer_in_time) {
+Test(overload, overtaken_requests_are_still_answered_in_time) {
   Load load;
-  load.times = 1.35;
+  load.overload_factor = 1.35;
   load.slots = 14;
-  load.spread = 0.5;
+  load.sigma = 0.5;
   load.aim = Ms(300);
   load.deadline = Ms(800);
   load.urgent_every = 5;
@@ -127,8 +131,8 @@
     Load shorter = load;
     shorter.wait_part = WaitingSettings{}.wait_part;
     const Tally after = Replay(shorter, seed);
-    const double gain = double(after.in_aim) / after.asked -
-                        double(before.in_aim) / before.asked;
+    const double gain = double(after.within_aim) / after.requests -
+                        double(before.within_aim) / before.requests;
     cr_assert(gain > 0.1, "%.2f", gain);
   }
 }
@@ -136,9 +140,10 @@
 // Below what the upstream can carry the rule must not turn anybody away.
 Test(overload, a_short_queue_costs_nothing_at_usual_load) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    const Tally aimed =
-        Replay({.times = 0.8, .wait_part = WaitingSettings{}.wait_part}, seed);
-    cr_assert(aimed.Worth() > 0.99, "%.3f", aimed.Worth());
+    const Tally tally = Replay(
+        {.overload_factor = 0.8, .wait_part = WaitingSettings{}.wait_part},
+        seed);
+    cr_assert(tally.MeanValue() > 0.99, "%.3f", tally.MeanValue());
   }
 }
 
--- a/tests/unit/placement_test.cc
+++ b/tests/unit/placement_test.cc
@@ -12,7 +12,7 @@
 using Ms = std::chrono::milliseconds;
 
 constexpr Duration kAim = Ms(300);
-constexpr double kUsualBytes = 3000;
+constexpr double kMeanBytes = 3000;
 
 Candidate MakeCandidate(Distance distance, std::uint32_t load) {
   Candidate candidate;
@@ -28,7 +28,7 @@
                       std::size_t bytes = 3000) {
   Rng rng(7);
   return Place(PlacementSettings{}, candidates,
-               {bytes, kAim, false, kUsualBytes}, rng);
+               {bytes, kAim, false, kMeanBytes}, rng);
 }
 
 Test(placement, none_without_candidates) {
@@ -86,10 +86,10 @@
 Test(placement, a_short_request_stays_at_home_beside_long_ones) {
   Candidate home = MakeCandidate(Distance::kOwnDataCenter, 5);
   home.run_time = Ms(60);
-  home.mean_time = Ms(700);
+  home.mean_run_time = Ms(700);
   Candidate across = MakeCandidate(Distance::kOtherDataCenter, 5);
   across.run_time = Ms(60);
-  across.mean_time = Ms(300);
+  across.mean_run_time = Ms(300);
   Rng rng(7);
   const std::vector<Candidate> candidates = {home, across};
   cr_assert(Place(PlacementSettings{}, candidates, {800, Ms(150)}, rng) == 0);
@@ -97,27 +97,27 @@
 
 // Two reads wait at one upstream and two calls at the other, both of them full.
 // Counted alike, half of those that come next would wait behind the reads.
-Test(placement, waits_behind_short_ones_rather_than_long_ones) {
+Test(placement, prefers_a_queue_of_short_requests) {
   Candidate reads = MakeCandidate(Distance::kOwnVm, 12);
   reads.waiting = 2;
-  reads.queued = Ms(2000);
+  reads.queued_time = Ms(2000);
   Candidate calls = MakeCandidate(Distance::kOwnDataCenter, 12);
   calls.waiting = 2;
-  calls.queued = Ms(80);
+  calls.queued_time = Ms(80);
   cr_assert(PlaceOnce({reads, calls}) == 1);
 }
 
 // What goes before all that waits does not mind a queue.
-Test(placement, one_that_goes_first_stays_beside_a_queue) {
+Test(placement, a_request_that_skips_the_queue_stays_at_home) {
   Candidate home = MakeCandidate(Distance::kOwnVm, 20);
   home.waiting = 10;
-  home.queued = Ms(4000);
+  home.queued_time = Ms(4000);
   const std::vector<Candidate> candidates = {
       home, MakeCandidate(Distance::kOtherDataCenter, 0)};
   Rng rng(7);
   PlacedRequest request{3000, 2 * kAim};
   cr_assert(Place(PlacementSettings{}, candidates, request, rng) == 1);
-  request.goes_first = true;
+  request.skips_queue = true;
   cr_assert(Place(PlacementSettings{}, candidates, request, rng) == 0);
 }
 
@@ -144,9 +144,9 @@
 // An upstream fails part of its requests although it is well by its own
 // account. Without a look at its answers it would get more than its share,
 // since failures are quick.
-Test(placement, leaves_one_that_fails) {
+Test(placement, avoids_a_failing_upstream) {
   Candidate failing = MakeCandidate(Distance::kOwnVm, 0);
-  failing.failure_share = 0.3;
+  failing.failure_ratio = 0.3;
   const std::size_t chosen =
       PlaceOnce({failing, MakeCandidate(Distance::kOwnDataCenter, 5)});
   cr_assert(chosen == 1);
@@ -154,33 +154,33 @@
 
 // An upstream has just joined, and nobody knows how fast it is. The others
 // answer in 5 ms; guessed to be slower than that it never got a request.
-Test(placement, tries_one_that_was_never_measured) {
+Test(placement, tries_an_unmeasured_upstream) {
   Candidate fast = MakeCandidate(Distance::kOwnDataCenter, 1);
   fast.run_time = Ms(5);
-  Candidate fresh = MakeCandidate(Distance::kOwnVm, 0);
-  fresh.run_time = Duration{0};
-  cr_assert(PlaceOnce({fast, fresh}) == 1);
+  Candidate unmeasured = MakeCandidate(Distance::kOwnVm, 0);
+  unmeasured.run_time = Duration{0};
+  cr_assert(PlaceOnce({fast, unmeasured}) == 1);
 }
 
 // A route is split 90 to 10. Over 300 requests each part has to be within a few
 // of its share; drawn at random it is off by more now and then.
-Test(weighted_turns, keeps_to_the_weights_in_every_stretch) {
-  WeightedTurns turns;
+Test(weighted_turns, keeps_to_the_weights_in_every_window) {
+  WeightedRoundRobin round_robin;
   const std::vector<std::uint32_t> weights = {90, 10};
-  for (int stretch = 0; stretch < 30; ++stretch) {
+  for (int window = 0; window < 30; ++window) {
     int second = 0;
     for (int i = 0; i < 100; ++i)
-      second += NextTurn(turns, weights) == 1 ? 1 : 0;
+      second += NextIndex(round_robin, weights) == 1 ? 1 : 0;
     cr_assert(second >= 9 && second <= 11);
   }
 }
 
-Test(weighted_turns, starts_anew_with_another_number_of_parts) {
-  WeightedTurns turns;
+Test(weighted_turns, resets_when_the_number_of_weights_changes) {
+  WeightedRoundRobin round_robin;
   const std::vector<std::uint32_t> two = {1, 1};
   const std::vector<std::uint32_t> one = {5};
-  (void)NextTurn(turns, two);
-  cr_assert(NextTurn(turns, one) == 0);
+  (void)NextIndex(round_robin, two);
+  cr_assert(NextIndex(round_robin, one) == 0);
 }
 
 }  // namespace
--- a/tests/unit/request_faults_test.cc
+++ b/tests/unit/request_faults_test.cc
@@ -22,7 +22,7 @@
   attempt.not_run = not_run;
   attempt.idempotent = idempotent;
   attempt.deadline = kStart + Seconds(2);
-  attempt.attempt_time = Ms(10);
+  attempt.min_attempt_time = Ms(10);
   return attempt;
 }
 
@@ -33,7 +33,7 @@
 
 // An attempt fails in one way or another. Repeating one that may have run
 // files twice; not repeating one that did not run loses it for nothing.
-Test(retry, only_what_did_not_run_or_may_run_twice_is_repeated) {
+Test(retry, only_unexecuted_or_idempotent_requests_are_retried) {
   struct Case {
     ErrorKind kind;
     bool not_run;
@@ -47,10 +47,11 @@
       {ErrorKind::kTruncated, false, false, RetryReason::kRefusedMayHaveRun},
       {ErrorKind::kTimeout, false, true, RetryReason::kRetriedIdempotent},
       {ErrorKind::kTruncated, false, true, RetryReason::kRetriedIdempotent},
-      {ErrorKind::kBadRequest, true, true, RetryReason::kRefusedNoUse},
-      {ErrorKind::kCancelled, false, true, RetryReason::kRefusedNoUse},
-      {ErrorKind::kCrashSuspect, true, true, RetryReason::kRefusedNoUse},
-      {ErrorKind::kOutcomeUnknown, false, true, RetryReason::kRefusedNoUse},
+      {ErrorKind::kBadRequest, true, true, RetryReason::kRefusedNotRetryable},
+      {ErrorKind::kCancelled, false, true, RetryReason::kRefusedNotRetryable},
+      {ErrorKind::kCrashSuspect, true, true, RetryReason::kRefusedNotRetryable},
+      {ErrorKind::kOutcomeUnknown, false, true,
+       RetryReason::kRefusedNotRetryable},
   };
   for (const Case& c : cases) {
     const auto reason = Decide(MakeFailed(c.kind, c.not_run, c.idempotent));
@@ -61,14 +62,14 @@
 }
 
 // The time left is shorter than an attempt takes, or nothing is left to try.
-Test(retry, a_repeat_needs_time_and_another_upstream) {
+Test(retry, a_retry_needs_time_and_another_upstream) {
   FailedAttempt attempt = MakeFailed(ErrorKind::kQueueFull, true, false);
   attempt.deadline = kStart + Ms(5);
   cr_assert(Decide(attempt) == RetryReason::kRefusedDeadline);
   attempt = MakeFailed(ErrorKind::kQueueFull, true, false);
-  attempt.other_upstream = false;
-  cr_assert(Decide(attempt) == RetryReason::kRefusedNoOther);
-  attempt.other_upstream = true;
+  attempt.has_other_upstream = false;
+  cr_assert(Decide(attempt) == RetryReason::kRefusedNoOtherUpstream);
+  attempt.has_other_upstream = true;
   attempt.attempts_made = 3;
   cr_assert(Decide(attempt) == RetryReason::kRefusedAttempts);
 }
@@ -90,15 +91,15 @@
 
 // One request crashes each upstream that runs it, and its caller sends it
 // again. The others that were in flight are innocent and are sent again, too.
-Test(suspects, the_guilty_stops_after_two_crashes_and_innocents_are_cleared) {
+Test(suspects, two_crashes_refuse_a_request_and_clean_runs_clear_others) {
   SuspectTable table;
   table.origin = 1;
   const std::vector<Fingerprint> in_flight = {10, 11, 12, 99};
   OnCrash(table, in_flight, kStart);
   cr_assert(StateOf(table, 99, kStart) == SuspectState::kAlone);
-  for (const Fingerprint innocent : {10, 11, 12}) {
-    OnCleanRun(table, innocent, kStart);
-    cr_assert(StateOf(table, innocent, kStart) == SuspectState::kClear);
+  for (const Fingerprint other : {10, 11, 12}) {
+    OnCleanRun(table, other, kStart);
+    cr_assert(StateOf(table, other, kStart) == SuspectState::kClear);
   }
   const std::vector<Fingerprint> alone = {99};
   OnCrash(table, alone, kStart);
@@ -158,25 +159,26 @@
 }
 
 // The same, while a younger connection answers. It is not at fault and stays.
-Test(connections, a_connection_heard_later_is_kept) {
+Test(connections, a_connection_with_later_bytes_is_kept) {
   ConnectionPool pool;
   (void)OpenIdle(pool, 2);
   const std::uint64_t silent = Acquire(pool, kStart + Seconds(1)).id;
-  const std::uint64_t lively = Acquire(pool, kStart + Seconds(1)).id;
-  OnByte(pool, lively, kStart + Seconds(2));
-  cr_assert(Release(pool, lively, ConnectionEnd::kWhole, kStart + Seconds(2))
-                .empty());
+  const std::uint64_t responding = Acquire(pool, kStart + Seconds(1)).id;
+  OnByte(pool, responding, kStart + Seconds(2));
+  cr_assert(
+      Release(pool, responding, ConnectionEnd::kWhole, kStart + Seconds(2))
+          .empty());
   const auto closed =
       Release(pool, silent, ConnectionEnd::kSilent, kStart + Seconds(7));
   cr_assert(closed.size() == 1);
   const Acquired next = Acquire(pool, kStart + Seconds(7));
   cr_assert(next.kind == AcquireKind::kReuse);
-  cr_assert(next.id == lively);
+  cr_assert(next.id == responding);
 }
 
 // An answer was cut, timed out or cancelled. The rest of it may still come and
 // would be taken for the answer to the next request on that connection.
-Test(connections, none_is_used_again_after_a_broken_answer) {
+Test(connections, no_connection_is_reused_after_a_broken_response) {
   for (const ConnectionEnd end :
        {ConnectionEnd::kTimeout, ConnectionEnd::kCancelled,
         ConnectionEnd::kShortBody, ConnectionEnd::kSilent,
--- a/tests/unit/routing_test.cc
+++ b/tests/unit/routing_test.cc
@@ -60,8 +60,8 @@
 
 void Fail(UpstreamTable& table, const std::string& id, int times, TimePoint t) {
   for (int i = 0; i < times; ++i) {
-    OnSent(table, "registry-desk", "v1", id);
-    OnAnswer(table, "registry-desk", "v1", id, AnswerKind::kFailed, -1, t);
+    OnRequestSent(table, "registry-desk", "v1", id);
+    OnResponse(table, "registry-desk", "v1", id, ResponseKind::kFailed, -1, t);
   }
 }
 
@@ -111,12 +111,12 @@
 
 // One node of four is loaded by callers that this node does not see. Without
 // the load that answers carry back it would get as much as the idle ones.
-Test(routing, load_that_answers_carry_back_turns_requests_away) {
+Test(routing, reported_load_diverts_requests) {
   UpstreamTable table = MakeTable(MakeMembers(4));
   Rng rng(1);
-  OnSent(table, "registry-desk", "v1", "node-1");
-  OnAnswer(table, "registry-desk", "v1", "node-1", AnswerKind::kGood, 30,
-           kStart);
+  OnRequestSent(table, "registry-desk", "v1", "node-1");
+  OnResponse(table, "registry-desk", "v1", "node-1", ResponseKind::kSucceeded,
+             30, kStart);
   std::map<std::string, int> chosen;
   for (int i = 0; i < 400; ++i)
     ++chosen[Choose(table, kStart, rng)];
@@ -151,7 +151,7 @@
 // An upstream fails every request at once, so it always looks idle. Without
 // ejection it would draw in most requests; with it, a handful are lost, and
 // one more each time its rest ends.
-Test(routing, a_failing_upstream_is_out_and_returns_on_trial) {
+Test(routing, a_failing_upstream_is_ejected_and_retried_on_return) {
   UpstreamTable table = MakeTable(MakeMembers(4));
   Rng rng(1);
   Fail(table, "node-3", 5, kStart);
@@ -161,8 +161,8 @@
   Fail(table, "node-3", 1, back);
   for (int i = 0; i < 200; ++i)
     cr_assert(Choose(table, back + Seconds(3), rng) != "node-3");
-  OnAnswer(table, "registry-desk", "v1", "node-3", AnswerKind::kGood, -1,
-           back + Seconds(5));
+  OnResponse(table, "registry-desk", "v1", "node-3", ResponseKind::kSucceeded,
+             -1, back + Seconds(5));
   Fail(table, "node-3", 4, back + Seconds(5));
   std::map<std::string, int> chosen;
   for (int i = 0; i < 200; ++i)
@@ -173,16 +173,16 @@
 // One upstream fails every third request, never five in a row, and another is
 // six times slower than the rest. Neither is ejected; without weights each gets
 // its full share, and a third of it is lost or late.
-Test(routing, answers_that_fail_or_are_slow_turn_requests_away) {
+Test(routing, failures_and_latency_divert_requests) {
   UpstreamTable table = MakeTable(MakeMembers(9));
   for (int i = 0; i < 90; ++i) {
     for (int node = 0; node < 9; ++node) {
       const std::string id = "node-" + std::to_string(node);
       const bool fails = node == 4 && i % 3 == 0;
-      OnSent(table, "registry-desk", "v1", id);
-      OnAnswer(table, "registry-desk", "v1", id,
-               fails ? AnswerKind::kFailed : AnswerKind::kGood, -1, kStart,
-               node == 7 ? Ms(300) : Ms(50));
+      OnRequestSent(table, "registry-desk", "v1", id);
+      OnResponse(table, "registry-desk", "v1", id,
+                 fails ? ResponseKind::kFailed : ResponseKind::kSucceeded, -1,
+                 kStart, node == 7 ? Ms(300) : Ms(50));
     }
   }
   Rng rng(1);
@@ -192,7 +192,7 @@
   cr_assert(chosen["node-4"] < 400);
   cr_assert(chosen["node-7"] < 400);
   const TimePoint later = kStart + Seconds(300);
-  OnSent(table, "registry-desk", "v1", "node-0");
+  OnRequestSent(table, "registry-desk", "v1", "node-0");
   for (int i = 0; i < 9000; ++i)
     ++chosen[Choose(table, later, rng)];
   cr_assert(chosen["node-0"] > 0 && chosen["node-4"] > 0, "tried again");
@@ -214,10 +214,10 @@
 
 // Members are updated many times a second. If each update forgot what is in
 // flight, a full upstream would look idle.
-Test(routing, an_update_keeps_what_is_known) {
+Test(routing, an_update_keeps_known_state) {
   UpstreamTable table = MakeTable(MakeMembers(4));
   Fail(table, "node-3", 5, kStart);
-  OnSent(table, "registry-desk", "v1", "node-1");
+  OnRequestSent(table, "registry-desk", "v1", "node-1");
   std::vector<Member> members = MakeMembers(5);
   members[3].upstream.ready_since += Seconds(1);
   UpdateTargets(table, MakeSnapshot(), members, "", "bole");
--- a/tests/unit/shortage_test.cc
+++ b/tests/unit/shortage_test.cc
@@ -15,23 +15,26 @@
 constexpr char kWorks[] = "tally-works";
 constexpr char kView[] = "spend-view";
 
-void Ask(ShortageTable& table, int refused, int served, TimePoint now) {
+void RecordRequests(ShortageTable& table,
+                    int refused,
+                    int served,
+                    TimePoint now) {
   for (int i = 0; i < refused; ++i)
     RecordDemand(table, kWorks, Priority::kNormal, true, now);
   for (int i = 0; i < served; ++i)
     RecordDemand(table, kWorks, Priority::kNormal, false, now);
 }
 
-double ShedOf(const ShortageTable& table, TimePoint now) {
-  return ShareToShed(table, kView, Priority::kBackground, now);
+double ShedFraction(const ShortageTable& table, TimePoint now) {
+  return FractionToShed(table, kView, Priority::kBackground, now);
 }
 
 Test(shortage, nothing_is_shed_while_there_is_room) {
   ShortageTable table;
   RecordCall(table, kView, kWorks);
-  Ask(table, 0, 50, kStart);
-  cr_assert(ShedOf(table, kStart) == 0);
-  cr_assert(ShortageNotes(table, kStart).empty());
+  RecordRequests(table, 0, 50, kStart);
+  cr_assert(ShedFraction(table, kStart) == 0);
+  cr_assert(ShortageReportsOf(table, kStart).empty());
 }
 
 // Half of the urgent requests to a service find no room there. Requests that
@@ -39,60 +42,61 @@
 Test(shortage, callers_of_a_full_service_are_shed) {
   ShortageTable table;
   RecordCall(table, kView, kWorks);
-  Ask(table, 10, 10, kStart);
-  const double share = ShedOf(table, kStart);
-  cr_assert(share > 0.5 && share <= 0.9, "%.2f", share);
-  cr_assert(ShareToShed(table, "budget-approve", Priority::kNormal, kStart) ==
-            0);
+  RecordRequests(table, 10, 10, kStart);
+  const double shed_fraction = ShedFraction(table, kStart);
+  cr_assert(shed_fraction > 0.5 && shed_fraction <= 0.9, "%.2f", shed_fraction);
+  cr_assert(
+      FractionToShed(table, "budget-approve", Priority::kNormal, kStart) == 0);
 }
 
 // Requests that are more urgent than those refused go on: they are not the ones
 // to give way.
-Test(shortage, more_urgent_callers_go_on) {
+Test(shortage, more_urgent_callers_are_not_shed) {
   ShortageTable table;
   RecordCall(table, kView, kWorks);
-  Ask(table, 20, 0, kStart);
-  cr_assert(ShareToShed(table, kView, Priority::kInternal, kStart) == 0);
+  RecordRequests(table, 20, 0, kStart);
+  cr_assert(FractionToShed(table, kView, Priority::kInternal, kStart) == 0);
 }
 
 // What other nodes saw counts too, until their link is lost.
-Test(shortage, other_nodes_tell_of_their_refusals) {
+Test(shortage, refusals_at_other_nodes_count) {
   ShortageTable here;
   ShortageTable there;
   RecordCall(there, kView, kWorks);
-  Ask(there, 15, 15, kStart);
-  TakeShortage(here, "n2", ShortageNotes(there, kStart), CallNotes(there));
-  cr_assert(ShedOf(here, kStart) > 0.5);
-  ForgetShortage(here, "n2");
-  cr_assert(ShedOf(here, kStart) == 0);
+  RecordRequests(there, 15, 15, kStart);
+  ReplacePeerShortage(here, "n2", ShortageReportsOf(there, kStart),
+                      CallReportsOf(there));
+  cr_assert(ShedFraction(here, kStart) > 0.5);
+  RemovePeerShortage(here, "n2");
+  cr_assert(ShedFraction(here, kStart) == 0);
 }
 
-Test(shortage, it_is_forgotten_within_seconds) {
+Test(shortage, a_shortage_decays_within_seconds) {
   ShortageTable table;
   RecordCall(table, kView, kWorks);
-  Ask(table, 20, 20, kStart);
-  cr_assert(ShedOf(table, kStart + std::chrono::seconds(4)) == 0);
+  RecordRequests(table, 20, 20, kStart);
+  cr_assert(ShedFraction(table, kStart + std::chrono::seconds(4)) == 0);
 }
 
 // One refusal among a few requests is chance.
-Test(shortage, a_few_requests_mean_nothing) {
+Test(shortage, a_few_refusals_shed_nothing) {
   ShortageTable table;
   RecordCall(table, kView, kWorks);
-  Ask(table, 2, 2, kStart);
-  cr_assert(ShedOf(table, kStart) == 0);
+  RecordRequests(table, 2, 2, kStart);
+  cr_assert(ShedFraction(table, kStart) == 0);
 }
 
 // Half of a service's upstreams are gone. Requests of another service call it
 // once each, and their calls take all the room that is left; the more urgent
 // requests that go there directly get none. A user sees every dashboard and no
 // forecast. With the rule both are served to a like part.
-struct Shares {
+struct ServedFractions {
   double views = 0;
   double forecasts = 0;
 };
 
-Shares Replay(bool sheds) {
-  constexpr int kRoom = 12;
+ServedFractions Replay(bool sheds) {
+  constexpr int kCapacity = 12;
   constexpr int kViews = 12;
   constexpr int kForecasts = 12;
   ShortageTable table;
@@ -104,16 +108,16 @@
   constexpr int kTurns = 400;
   for (int turn = 0; turn < kTurns; ++turn) {
     const TimePoint now = kStart + turn * Ms(50);
-    const double share = sheds ? ShedOf(table, now) : 0;
-    int room = kRoom;
+    const double shed_fraction = sheds ? ShedFraction(table, now) : 0;
+    int free_slots = kCapacity;
     for (int i = 0; i < kViews; ++i) {
-      if (draw(rng) < share)
+      if (draw(rng) < shed_fraction)
         continue;
       ++views;
-      --room;
+      --free_slots;
     }
     for (int i = 0; i < kForecasts; ++i) {
-      const bool served = room-- > 0;
+      const bool served = free_slots-- > 0;
       forecasts += served ? 1 : 0;
       RecordDemand(table, kWorks, Priority::kNormal, !served, now);
     }
@@ -123,30 +127,30 @@
 }
 
 Test(shortage, urgent_requests_are_served_beside_calls_of_others) {
-  const Shares before = Replay(false);
+  const ServedFractions before = Replay(false);
   cr_assert(before.views > 0.99 && before.forecasts < 0.01);
-  const Shares after = Replay(true);
+  const ServedFractions after = Replay(true);
   cr_assert(after.forecasts > 0.5, "%.2f", after.forecasts);
   cr_assert(after.views > 0.3, "%.2f", after.views);
 }
 
 // Configurations come and go, and each brings routes of its own. The rows of
 // those that are gone must not keep out new ones.
-Test(shortage, calls_of_routes_that_are_gone_are_forgotten) {
+Test(shortage, calls_of_removed_routes_are_dropped) {
   ShortageTable table;
   for (int i = 0; i < 100; ++i)
     RecordCall(table, "old-" + std::to_string(i), kWorks);
-  KeepRoutes(table, {kView});
-  cr_assert(CallNotes(table).empty());
+  RetainRoutes(table, {kView});
+  cr_assert(CallReportsOf(table).empty());
   RecordCall(table, kView, kWorks);
-  cr_assert(CallNotes(table).size() == 1);
+  cr_assert(CallReportsOf(table).size() == 1);
 }
 
-Test(shortage, names_are_not_mixed_up) {
+Test(shortage, a_shortage_of_another_service_sheds_nothing) {
   ShortageTable table;
   RecordCall(table, kView, kDesk);
-  Ask(table, 20, 0, kStart);
-  cr_assert(ShedOf(table, kStart) == 0);
+  RecordRequests(table, 20, 0, kStart);
+  cr_assert(ShedFraction(table, kStart) == 0);
 }
 
 }  // namespace
--- a/tests/unit/time_spent_test.cc
+++ b/tests/unit/time_spent_test.cc
@@ -11,7 +11,7 @@
 
 // Two thirds of the requests are first attempts, the others come back with what
 // is left of their 800 ms.
-DeadlineHistory Learnt() {
+DeadlineHistory MakeHistory() {
   DeadlineHistory history;
   Rng rng(3);
   for (int i = 0; i < 600; ++i) {
@@ -22,26 +22,26 @@
 }
 
 Test(time_spent, first_attempts_have_spent_nothing) {
-  cr_assert(TimeSpent(Learnt(), Ms(800)) == Duration{0});
+  cr_assert(TimeSpent(MakeHistory(), Ms(800)) == Duration{0});
 }
 
 // A caller was refused and comes back 250 ms later. Treated as a new one it is
 // let in to wait, and its answer comes late, in place of one that is in time.
-Test(time_spent, what_is_missing_to_the_usual_deadline_was_spent) {
-  cr_assert(TimeSpent(Learnt(), Ms(550)) == Ms(250));
+Test(time_spent, the_gap_below_the_usual_deadline_was_spent) {
+  cr_assert(TimeSpent(MakeHistory(), Ms(550)) == Ms(250));
 }
 
 // Some callers are in more of a hurry than others. Theirs is no rest of a
 // longer deadline, however short.
 Test(time_spent, several_deadlines_may_be_usual) {
-  DeadlineHistory history = Learnt();
+  DeadlineHistory history = MakeHistory();
   for (int i = 0; i < 100; ++i)
     RecordDeadline(history, Ms(400));
   cr_assert(TimeSpent(history, Ms(400)) == Duration{0});
   cr_assert(TimeSpent(history, Ms(390)) == Ms(10));
 }
 
-Test(time_spent, nothing_is_said_before_enough_was_seen) {
+Test(time_spent, no_estimate_before_enough_requests) {
   DeadlineHistory history;
   for (int i = 0; i < 10; ++i)
     RecordDeadline(history, Ms(800));
@@ -50,7 +50,7 @@
 
 // Operators give callers of a route another deadline.
 Test(time_spent, a_new_usual_deadline_is_learnt) {
-  DeadlineHistory history = Learnt();
+  DeadlineHistory history = MakeHistory();
   for (int i = 0; i < 3000; ++i)
     RecordDeadline(history, Ms(600));
   cr_assert(TimeSpent(history, Ms(600)) == Duration{0});
--- a/tests/unit/upstream_model_test.cc
+++ b/tests/unit/upstream_model_test.cc
@@ -14,40 +14,40 @@
   ServiceTimes measured;
   measured["read"].mean_us = 640'000;
   measured["call"].mean_us = 40'000;
-  std::vector<RouteTime> told;
-  RefreshTold(told, measured);
-  cr_assert(TimeOf(told, "read") == Ms(640));
-  cr_assert(TimeOf(told, "call") == Ms(40));
-  cr_assert(TimeOf(told, "other") == Duration{0});
+  std::vector<RouteTime> reported;
+  UpdateReportedTimes(reported, measured);
+  cr_assert(ReportedTimeOf(reported, "read") == Ms(640));
+  cr_assert(ReportedTimeOf(reported, "call") == Ms(40));
+  cr_assert(ReportedTimeOf(reported, "other") == Duration{0});
 }
 
 // A mean moves a little with every run. Told each time it would cost every node
 // a frame for each request of every other.
-Test(upstream_model, small_changes_are_not_told) {
+Test(upstream_model, small_changes_are_not_reported) {
   ServiceTimes measured;
   measured["read"].mean_us = 100'000;
-  std::vector<RouteTime> told;
-  RefreshTold(told, measured);
+  std::vector<RouteTime> reported;
+  UpdateReportedTimes(reported, measured);
   measured["read"].mean_us = 109'000;
-  RefreshTold(told, measured);
-  cr_assert(TimeOf(told, "read") == Ms(100));
+  UpdateReportedTimes(reported, measured);
+  cr_assert(ReportedTimeOf(reported, "read") == Ms(100));
   measured["read"].mean_us = 125'000;
-  RefreshTold(told, measured);
-  cr_assert(TimeOf(told, "read") == Ms(125));
+  UpdateReportedTimes(reported, measured);
+  cr_assert(ReportedTimeOf(reported, "read") == Ms(125));
 }
 
 // Routes come and go with configurations; rows of those that are gone would
 // take the place of new ones.
-Test(upstream_model, routes_that_are_gone_are_not_told) {
+Test(upstream_model, removed_routes_are_not_reported) {
   ServiceTimes measured;
   measured["old"].mean_us = 100'000;
-  std::vector<RouteTime> told;
-  RefreshTold(told, measured);
+  std::vector<RouteTime> reported;
+  UpdateReportedTimes(reported, measured);
   measured.clear();
   measured["new"].mean_us = 50'000;
-  RefreshTold(told, measured);
-  cr_assert_eq(told.size(), 1U);
-  cr_assert(TimeOf(told, "new") == Ms(50));
+  UpdateReportedTimes(reported, measured);
+  cr_assert_eq(reported.size(), 1U);
+  cr_assert(ReportedTimeOf(reported, "new") == Ms(50));
 }
 
 }  // namespace
