--- a/include/teaselspread/admission.h
+++ b/include/teaselspread/admission.h
@@ -1,7 +1,8 @@
-// What the gatekeeper of one upstream lets run, lets wait or refuses.
+// Admission control in front of one upstream: each request runs, is queued or
+// is refused.
 //
-// Every request reaches the upstream through this one process, so the slots in
-// use are known exactly, and "refused, not run" is a fact.
+// Every request reaches the upstream through this one process, so the number of
+// slots in use is exact, and a refused request is certain not to have run.
 #ifndef TEASELSPREAD_ADMISSION_H_
 #define TEASELSPREAD_ADMISSION_H_
 
@@ -33,24 +34,25 @@
   int max_connections = 128;
   int queue_limit = 64;
   std::size_t body_memory_bytes = 256U << 20;
-  // Suspects that may wait for their turn to run alone.
+  // Suspects that may wait to run alone.
   int max_waiting_suspects = 4;
   WaitingSettings waiting;
-  // Least Retry-After; the estimated time to clear the queue is added.
+  // Minimum Retry-After; the estimated time to drain the queue is added.
   Duration retry_after = std::chrono::milliseconds(500);
 };
 
-// One request at the gate. The id is the caller's to choose, unique while the
-// request is here.
+// One request at the gate. The caller chooses the id, which must be unique
+// among the requests that the gate holds.
 struct Arrival {
   std::uint64_t id = 0;
   std::string route;
   Priority priority = Priority::kNormal;
   TimePoint deadline;
-  // Until when an answer is worth most; the epoch when nobody said.
+  // Time until which a response has its full value, a soft deadline; the epoch
+  // when not given.
   TimePoint aim;
   std::size_t body_bytes = 0;
-  // May crash the upstream: runs only while nothing else does.
+  // May crash the upstream, so it runs only while no other request does.
   bool suspect = false;
 };
 
@@ -59,23 +61,24 @@
 // "run", "queued" or "refused". Thread safe.
 [[nodiscard]] std::string_view NameOf(Admission admission);
 
-// A request that will not run; answer it now.
+// A request that will not run; the caller has to respond to it now.
 struct Refusal {
   std::uint64_t id = 0;
   ErrorKind kind = ErrorKind::kQueueFull;
-  // Already spread at random.
+  // Jitter is already applied.
   Duration retry_after{};
 };
 
-// What Arrive decided. `refusal` is set for kRefused; `evicted` is a waiting
-// request that had to make room for a more urgent one.
+// Result of Arrive. `refusal` is set for kRefused; `evicted` is a queued
+// request that was removed in favour of a more urgent one.
 struct ArrivalResult {
   Admission admission = Admission::kRefused;
   std::optional<Refusal> refusal;
   std::optional<Refusal> evicted;
 };
 
-// What became possible: start `run` now, answer `refused` now.
+// What the caller has to do now: start the requests in `run` and respond to
+// those in `refused`.
 struct GateActions {
   std::vector<std::uint64_t> run;
   std::vector<Refusal> refused;
@@ -90,15 +93,16 @@
   bool running = false;
 };
 
-// Internal lookups first, then the earliest aim, then arrival. A request
-// without an aim counts by its deadline. Callers that come back after a refusal
-// have little time left: by deadline they would overtake those who came first,
-// and those would be late as well.
+// Queue order: by priority (internal lookups first), then by earliest aim, then
+// by arrival. A request without an aim is ordered by its deadline. The deadline
+// alone would let callers that retry after a refusal, with little time left,
+// overtake first attempts and make those late as well.
 struct RunsBefore {
   bool operator()(const HeldRequest& a, const HeldRequest& b) const;
 };
 
-// The state of one gate. Not thread safe; every function below takes it alone.
+// The state of one gate. Not thread safe; the functions below need exclusive
+// access to it.
 struct Gatekeeper {
   GatekeeperSettings settings;
   // Declared before the queue, which must be unlinked first.
@@ -125,14 +129,14 @@
   ~Gatekeeper();
 };
 
-// A caller's connection was accepted; false if it is over the limit and must be
-// answered with kConnectionLimit and closed. Not thread safe.
+// Counts a caller's accepted connection. Returns false if it exceeds the limit;
+// the caller must then send kConnectionLimit and close it. Not thread safe.
 [[nodiscard]] bool OpenConnection(Gatekeeper& gate);
 
 // Precondition: one earlier OpenConnection that returned true. Not thread safe.
 void CloseConnection(Gatekeeper& gate);
 
-// A request came in. Precondition: arrival.id is not held. Refuses with
+// Decides on a new request. Precondition: arrival.id is not held. Refuses with
 // kNotReady, kLeaving, kDeadlineTooShort, kMemoryBudget, kQueueFull or
 // kCrashSuspect. Not thread safe.
 [[nodiscard]] ArrivalResult Arrive(Gatekeeper& gate,
@@ -140,9 +144,9 @@
                                    TimePoint now,
                                    Rng& rng);
 
-// The run of `id` ended after `took`; `counts` is false for a run that says
-// nothing of the service time (refused connection, cancelled). Unknown ids are
-// ignored. Not thread safe.
+// Ends the run of `id`, which took `run_time`. `updates_estimate` is false for
+// a run that is no sample of the service time (refused connection, cancelled).
+// Unknown ids are ignored. Not thread safe.
 [[nodiscard]] GateActions Finish(Gatekeeper& gate,
                                  std::uint64_t id,
                                  Duration run_time,
@@ -150,40 +154,41 @@
                                  TimePoint now,
                                  Rng& rng);
 
-// The caller of a waiting request went away. Not thread safe.
+// Removes a queued request whose caller disconnected. Not thread safe.
 void CancelWaiting(Gatekeeper& gate, std::uint64_t id);
 
-// Gives up on waiting requests that cannot make their deadline any more
+// Refuses queued requests that can no longer meet their deadline
 // (kQueueTimeout). Not thread safe.
 [[nodiscard]] GateActions Expire(Gatekeeper& gate, TimePoint now, Rng& rng);
 
-// When Expire has something to do next, if ever. Not thread safe.
+// Time of the next expiry of a queued request, if any. Not thread safe.
 [[nodiscard]] std::optional<TimePoint> NextExpiry(const Gatekeeper& gate);
 
-// The upstream or the node is leaving: refuses all that wait (kLeaving) and all
-// that come; what runs goes on. Not thread safe.
+// The upstream or the node is leaving: refuses all queued and all later
+// requests (kLeaving); running requests continue. Not thread safe.
 [[nodiscard]] GateActions Leave(Gatekeeper& gate, TimePoint now, Rng& rng);
 
-// The slots changed (an announcement was renewed, or it lapsed and `ready` is
-// false). Not thread safe.
+// Sets the number of slots: an announcement was renewed, or it expired and
+// `ready` is false. Not thread safe.
 [[nodiscard]] GateActions SetUpstream(Gatekeeper& gate,
                                       int slots,
                                       bool ready,
                                       TimePoint now,
                                       Rng& rng);
 
-// Running and waiting requests: what answers carry back. Not thread safe.
+// Number of running and queued requests, as responses report it. Not thread
+// safe.
 [[nodiscard]] int LoadOf(const Gatekeeper& gate);
 
-// Expected time of all that waits, were it run one after the other. Not thread
+// Expected time to run all queued requests one after the other. Not thread
 // safe.
 [[nodiscard]] Duration QueuedTime(const Gatekeeper& gate);
 
-// Forgets the times of routes that are gone. Not thread safe.
+// Drops the service times of all routes not in `routes`. Not thread safe.
 void RetainServiceTimes(Gatekeeper& gate,
                         const std::set<std::string_view>& routes);
 
-// Time that a request of `route` is expected to run. Not thread safe.
+// Expected run time of a request of `route`. Not thread safe.
 [[nodiscard]] Duration ExpectedServiceTime(const Gatekeeper& gate,
                                            std::string_view route);
 
--- a/include/teaselspread/placement.h
+++ b/include/teaselspread/placement.h
@@ -1,5 +1,5 @@
-// Which upstream of a service one request goes to, when upstreams of every data
-// centre may take it.
+// Chooses the upstream for one request among those of all data centres, by
+// expected cost.
 //
 // Pure: the caller passes everything in. Nothing here is thread safe.
 #ifndef TEASELSPREAD_PLACEMENT_H_
@@ -18,80 +18,82 @@
 enum class Distance : std::uint8_t { kOwnVm, kOwnDataCenter, kOtherDataCenter };
 
 struct PlacementSettings {
-  // Time for a request and its answer on the way, by distance.
+  // Network time of a request and its response together, by distance.
   Duration own_data_center_round_trip = std::chrono::microseconds(400);
   Duration other_data_center_round_trip = std::chrono::microseconds(3000);
-  // Reluctance to use a line between data centres, for a request of the usual
-  // size and as a part of what an answer is worth: another data centre has to
-  // lower the chance of a late answer by about this much. It grows with the
-  // square root of the size, so that of the work which home cannot carry small
-  // requests go first.
+  // Cost of using a line between data centres, for a request of mean size and
+  // as a fraction of the value of a response: another data centre has to lower
+  // the probability of a late response by about this much. It grows with the
+  // square root of the size, so that small requests are the first to leave an
+  // overloaded data centre.
   double crossing_cost = 0.15;
-  // What waiting costs beside being late, for a time as long as the aim: a slot
-  // is held meanwhile, here and at whoever called.
+  // Cost of an expected time as long as the aim, apart from lateness: a slot is
+  // held meanwhile, here and at the caller.
   double price_of_time = 0.1;
-  // How sharply the chance to be late rises as the expected time nears the aim:
-  // exponent of a log-logistic curve, whose spread at 5 is that of upstreams
-  // whose times vary by a third to a half of their mean.
+  // How steeply the probability of a late response rises as the expected time
+  // nears the aim: exponent of a log-logistic curve, which at 5 has the spread
+  // of upstreams whose run times vary by a third to a half of their mean.
   double late_exponent = 5;
-  // How many times dearer waiting is than running: one that joins a queue also
-  // delays those that come after it, one that takes an idle slot, if a slower
-  // one, delays nobody.
+  // Cost of waiting relative to running: a request that joins a queue also
+  // delays later ones, while one that takes an idle slot, even a slower one,
+  // delays none.
   double wait_weight = 2;
-  // Aim of a route that names none.
+  // Aim of a request without one.
   Duration default_aim = std::chrono::milliseconds(300);
-  // Time of a run while no upstream was measured.
+  // Assumed run time while no upstream was measured.
   Duration default_run_time = std::chrono::milliseconds(100);
-  // How much slower an upstream runs with all slots taken than with none.
+  // Relative increase of the run time from an idle upstream to one with all
+  // slots in use.
   double busy_factor = 0.3;
-  // Random part of the cost, so that nodes which see the same figures do not
-  // all pick the same upstream.
+  // Maximum random addition to the cost, as a fraction of it, so that nodes
+  // with the same figures do not all choose the same upstream.
   double spread = 0.1;
 };
 
-// What is to be placed.
+// A request to be placed.
 struct PlacedRequest {
-  // Bytes of the request and of its answer, as far as known.
+  // Bytes of the request and of its response, as far as known.
   std::size_t bytes = 0;
-  // Time left in which an answer is worth most; zero when nobody said.
+  // Remaining time in which a response has its full value; zero if not given.
   Duration aim{};
-  // It goes before all that waits.
+  // Runs before all queued requests.
   bool skips_queue = false;
-  // Mean bytes of the requests that are placed here; zero when unknown.
+  // Mean bytes of the requests that this node places; zero when unknown.
   double mean_bytes = 0;
 };
 
-// One upstream that may take the request.
+// An upstream that may serve the request.
 struct Candidate {
   std::string_view node;
   Distance distance = Distance::kOwnVm;
   std::uint32_t slots = 1;
-  // Requests at the upstream and waiting for it, as far as this node knows,
-  // with those of its own that the figure does not hold yet.
+  // Requests running at the upstream and waiting for it, as last reported, plus
+  // those of this node that the report does not include yet.
   std::uint32_t load = 0;
-  // Moving average of a run of the request's route; zero when nothing was
+  // Moving average of the run time of the request's route; zero when not
   // measured.
   Duration run_time{};
-  // The same over all routes: how often a slot frees.
+  // The same over all routes, from which follows how often a slot becomes free.
   Duration mean_run_time{};
-  // Those of `load` that wait, as its gate told, and the time that they take.
+  // Requests of `load` that wait, as its gate reported, and their total run
+  // time.
   std::uint32_t waiting = 0;
   Duration queued_time{};
-  // Failures among the last answers, 0..1.
+  // Fraction of failures among the latest responses, 0..1.
   double failure_ratio = 0;
 };
 
-// Cost of one candidate as a part of what the answer is worth: the chance that
-// it is late or fails, the time that it takes, and the price of the way. While
-// every answer is well within its aim the way decides, and requests stay at
-// home; as the aim comes near, faster and emptier upstreams further away are
-// worth their price. Thread safe.
+// Cost of one candidate as a fraction of the value of the response: the
+// probability that it is late or fails, the time that it takes, and the cost of
+// the distance. While all responses are well within their aim the distance
+// decides, and requests stay in their data centre; closer to the aim, faster
+// and less loaded upstreams further away cost less. Thread safe.
 [[nodiscard]] double CostOf(const PlacementSettings& settings,
                             const Candidate& candidate,
                             const PlacedRequest& request);
 
-// Index of the candidate for one request; `candidates.size()` when there is
-// none.
+// Index of the candidate of least cost, after noise; `candidates.size()` when
+// there is none.
 [[nodiscard]] std::size_t Place(const PlacementSettings& settings,
                                 std::span<const Candidate> candidates,
                                 const PlacedRequest& request,
--- a/include/teaselspread/retry.h
+++ b/include/teaselspread/retry.h
@@ -1,4 +1,4 @@
-// Whether a failed attempt may be repeated on another upstream.
+// Decides whether a failed attempt may be retried on another upstream.
 #ifndef TEASELSPREAD_RETRY_H_
 #define TEASELSPREAD_RETRY_H_
 
@@ -11,7 +11,7 @@
 
 namespace teaselspread {
 
-// Why an attempt was repeated, or why it was not. One counter for each.
+// Why an attempt was retried, or why it was not. One counter for each.
 enum class RetryReason : std::uint8_t {
   kRetriedNotRun,
   kRetriedIdempotent,
@@ -28,50 +28,52 @@
 [[nodiscard]] std::string_view NameOf(RetryReason reason);
 
 struct RetrySettings {
-  // Retries for each first attempt, over the long run.
+  // Long-term ratio of retries to first attempts.
   double retry_ratio = 0.1;
-  // Most retries that can be saved up: what a quiet node may send at once.
+  // Maximum number of saved tokens, the retries that a quiet node may send at
+  // once.
   double burst = 10;
   int max_attempts = 3;
 };
 
 // A token bucket that first attempts fill and retries empty. Under a lasting
-// fault the requests sent stay below (1 + share) of those asked, so retries
-// cannot feed an overload.
+// fault, at most (1 + retry_ratio) requests are sent for each one received, so
+// retries cannot sustain an overload.
 struct RetryBudget {
   RetrySettings settings;
   double tokens = 10;
   CounterTable<RetryReason> counters;
 };
 
-// What is known of a failed attempt.
+// Facts about a failed attempt.
 struct FailedAttempt {
   ErrorKind kind = ErrorKind::kInternal;
-  // The upstream or gatekeeper said, or the connection shows, that nothing ran.
+  // The upstream or gatekeeper reported, or the connection state shows, that
+  // the request did not run.
   bool not_run = false;
   bool idempotent = false;
   int attempts_made = 1;
-  // An upstream that was not tried yet exists.
+  // There is an upstream that was not tried yet.
   bool has_other_upstream = true;
   TimePoint deadline;
-  // Least time that an attempt needs on this route.
+  // Minimum time that an attempt needs on this route.
   Duration min_attempt_time{};
 };
 
-// A first attempt was made: adds to the budget. Not thread safe.
+// Adds to the budget for a first attempt. Not thread safe.
 void OnFirstAttempt(RetryBudget& budget);
 
-// Decides on a repeat, takes a token if there is one, and counts the reason.
-// kRetried... means "send it again elsewhere now". Not thread safe.
+// Decides on a retry, takes a token if it is allowed, and counts the reason.
+// kRetried... means "send it to another upstream now". Not thread safe.
 [[nodiscard]] RetryReason DecideRetry(RetryBudget& budget,
                                       const FailedAttempt& attempt,
                                       TimePoint now);
 
-// True for the reasons that mean "send it again". Thread safe.
+// True for the reasons that allow the retry. Thread safe.
 [[nodiscard]] bool IsRetry(RetryReason reason);
 
-// Retry-After for a refused caller: `base` spread evenly over [base, 2 base),
-// so that those refused together do not return together. Thread safe.
+// Retry-After for a refused caller: uniform over [base, 2 base), so that
+// callers refused at the same time do not retry at the same time. Thread safe.
 [[nodiscard]] Duration JitteredRetryAfter(Duration base, Rng& rng);
 
 }  // namespace teaselspread
--- a/include/teaselspread/routing.h
+++ b/include/teaselspread/routing.h
@@ -1,7 +1,7 @@
-// Which route a request belongs to and which upstream serves it.
+// Matches a request to its route and chooses the upstream that serves it.
 //
-// The table holds only what one node knows by itself: the members that it was
-// told of, its own requests in flight, and the load that answers carried back.
+// The table holds only what one node knows by itself: the members from gossip,
+// its own requests in flight, and the load that responses reported.
 #ifndef TEASELSPREAD_ROUTING_H_
 #define TEASELSPREAD_ROUTING_H_
 
@@ -21,21 +21,22 @@
 
 namespace teaselspread {
 
-// The first route of `snapshot` whose method and path prefix fit, or null. An
-// empty method in a route fits every method; a prefix ends at a path segment.
+// The first route of `snapshot` whose method and path prefix match, or null. An
+// empty method matches every method; a prefix ends at a path segment.
 // The pointer lives as long as the snapshot. Thread safe.
 [[nodiscard]] const RouteConfig* MatchRoute(const Snapshot& snapshot,
                                             std::string_view method,
                                             std::string_view path);
 
 // The same among the routes of `host`, which is compared without its port and
-// without regard to case; the longest prefix wins. Thread safe.
+// ignoring case; the longest prefix wins. Thread safe.
 [[nodiscard]] const RouteConfig* MatchRoute(const Snapshot& snapshot,
                                             std::string_view host,
                                             std::string_view method,
                                             std::string_view path);
 
-// How an upstream's answer counts for ejection. Shedding is load, not a fault.
+// How an upstream's response counts for ejection. Shedding is a sign of load,
+// not a fault.
 enum class ResponseKind : std::uint8_t {
   kSucceeded,
   kFailed,
@@ -43,32 +44,34 @@
   kShed
 };
 
-// When a target is taken out because its answers fail.
+// When a target is ejected because its responses fail.
 struct EjectionSettings {
-  // Failures in a row that eject. One is enough after a return, until the
-  // first good answer: a target that is still broken gets one request only.
+  // Consecutive failures that eject. After an ejection one is enough until the
+  // first successful response, so that a target that is still broken gets only
+  // one request.
   int consecutive_failures = 5;
-  // A timeout counts for this many failures: it cost its caller more, and a
-  // target that hangs answers so few that the row is long in coming.
+  // A time-out counts as this many failures: it costs the caller more, and a
+  // target that hangs responds so rarely that the count rises slowly.
   int timeout_weight = 2;
-  // First time out; doubles with each ejection in a row up to the longest.
+  // Length of the first ejection; doubles with each consecutive one up to
+  // max_ejection_time.
   Duration base_ejection_time = std::chrono::seconds(2);
   Duration max_ejection_time = std::chrono::seconds(60);
-  // Largest share of a group that may be out. A fault of everything behind the
-  // targets (a shared store, say) would otherwise eject all of them.
+  // Maximum fraction of a group that may be ejected. A fault behind all targets
+  // (a shared store, for example) would otherwise eject all of them.
   double max_ejected_fraction = 0.34;
 };
 
-// How answers change the choice between two targets, short of ejection. Both
-// compare targets with each other, so a fault that all share changes nothing.
+// How responses affect the choice between two targets, apart from ejection.
+// Targets are compared with each other, so a common fault changes nothing.
 struct ChoiceSettings {
-  // Load counts (1 + this * share of failures) times.
+  // Load is multiplied by (1 + failure_weight * ratio of failures).
   double failure_weight = 10;
-  // Load counts in proportion to the time that answers take.
+  // Load is multiplied by the response time relative to the other target's.
   bool by_latency = true;
 };
 
-// One upstream that may get work, as this node sees it.
+// An upstream that may get requests, as this node sees it.
 struct Target {
   std::string id;
   Address http;
@@ -76,13 +79,13 @@
   int slots = 1;
   TimePoint ready_since;
   Duration warm_up{};
-  // This node's requests that are under way there.
+  // Requests of this node in flight there.
   int in_flight = 0;
-  // Load of other nodes' requests, from the last answer; fades with its age.
+  // Load of other nodes' requests, from the last response; decays with its age.
   double other_nodes_load = 0;
   TimePoint load_reported_at;
-  // Moving averages over the last ten or so answers; they fade with age, so
-  // that a target which was bad is tried again.
+  // Moving averages over about the last ten responses. They decay with age, so
+  // that a target that failed or was slow is tried again.
   double failure_ratio = 0;
   double latency_us = 0;
   TimePoint last_response_at;
@@ -99,7 +102,7 @@
   int own_index = -1;
 };
 
-// What one node knows of all upstreams in its data centre.
+// All upstreams in the data centre, as one node sees them.
 struct UpstreamTable {
   // By service, then by version.
   std::map<std::string,
@@ -113,17 +116,17 @@
 };
 
 // Replaces the targets by the ready upstreams of the alive members of
-// `data_center`; load and ejection of those that stay are kept. Anything
-// suspect, dead, left, warming or leaving is left out at once. Invalidates
-// every Target pointer. Not thread safe.
+// `data_center`; those that stay keep their load and ejection. Suspect, dead,
+// left, warming and leaving ones are removed at once. Invalidates every Target
+// pointer. Not thread safe.
 void UpdateTargets(UpstreamTable& table,
                    const Snapshot& snapshot,
                    std::span<const Member> members,
                    std::string_view own_id,
                    std::string_view data_center);
 
-// The target for one request: the own upstream if it has a free slot, else the
-// better of two at random by load for each warmed-up slot. `excluded` holds
+// The target for one request: the own upstream if it has a free slot, otherwise
+// the better of two random ones by load per warmed-up slot. `excluded` holds
 // the ids that were tried already. Fails with kNoUpstream. The pointer is
 // valid until the next UpdateTargets. Not thread safe.
 [[nodiscard]] Result<const Target*> ChooseUpstream(
@@ -134,17 +137,17 @@
     TimePoint now,
     Rng& rng);
 
-// A request was sent to the target `id`. Unknown ids are ignored. Not thread
-// safe.
+// Records a request sent to the target `id`. Unknown ids are ignored. Not
+// thread safe.
 void OnRequestSent(UpstreamTable& table,
                    std::string_view service,
                    std::string_view version,
                    std::string_view id);
 
-// The answer of one earlier OnSent. `load` is what the answer carried back:
-// running and waiting requests at that gatekeeper, or -1 if it carried none.
-// `took` is the time from OnSent; leave it out if it says nothing of the
-// target. Not thread safe.
+// Records the response to one earlier OnRequestSent. `load` is the number of
+// running and waiting requests at that gatekeeper that the response reported,
+// or -1 if none. `response_time` is the time since OnRequestSent; omit it if it
+// is no measure of the target. Not thread safe.
 void OnResponse(UpstreamTable& table,
                 std::string_view service,
                 std::string_view version,
@@ -154,11 +157,11 @@
                 TimePoint now,
                 Duration response_time = Duration{});
 
-// Share of full weight that a target has while it warms up, 0.1..1. Thread
-// safe.
+// Weight of a target that warms up, as a fraction of its full weight, 0.1..1.
+// Thread safe.
 [[nodiscard]] double WarmUpWeight(const Target& target, TimePoint now);
 
-// Whether the target is out because its answers failed. Thread safe.
+// Whether the target is ejected because its responses failed. Thread safe.
 [[nodiscard]] bool IsEjected(const Target& target, TimePoint now);
 
 }  // namespace teaselspread
--- a/include/teaselspread/shortage.h
+++ b/include/teaselspread/shortage.h
@@ -1,12 +1,11 @@
-// Work that would need a service which is short of room is turned away before
-// it begins.
+// Load shedding at the entry for requests that call an overloaded service.
 //
-// A request holds a slot of its own service while it waits for the calls that
-// it makes. Calls of running requests go first, since half of the work is done;
-// so when the called service is short, requests that are more urgent, but go
-// there directly, find no room behind the calls of less urgent ones. Turning a
-// part of those away at the entry, before anything has run, gives each its
-// share.
+// A request holds a slot of its own service while it waits for its calls to
+// other services. Calls of running requests have priority, since half of their
+// work is done. When the called service is short of slots, the calls of less
+// urgent requests thus leave none for more urgent requests sent to it directly.
+// Shedding a fraction of the less urgent requests at the entry, before they
+// run, gives each its share.
 //
 // Pure: the caller passes the time in. Nothing here is thread safe.
 #ifndef TEASELSPREAD_SHORTAGE_H_
@@ -26,8 +25,8 @@
 
 namespace teaselspread {
 
-// How many requests of one priority a node lately sent to a service, and how
-// many of them found no room there.
+// Recent requests of one priority from one node to a service, and how many of
+// them were refused there for lack of capacity.
 struct ShortageReport {
   std::string service;
   Priority priority = Priority::kNormal;
@@ -37,7 +36,7 @@
   bool operator==(const ShortageReport&) const = default;
 };
 
-// Requests of `route` make calls to `service` while they run.
+// Requests of `route` call `service` while they run.
 struct CallReport {
   std::string route;
   std::string service;
@@ -47,19 +46,20 @@
 };
 
 struct ShortageSettings {
-  // Counts fade with this time constant: long enough for some tens of requests
-  // of all nodes, short enough that a shortage of seconds is met.
+  // Time constant of the counts' exponential decay: long enough for some tens
+  // of requests of all nodes, short enough to react to a shortage of seconds.
   Duration decay_time = std::chrono::milliseconds(1500);
-  // Requests that must have been seen before a share of them means anything.
+  // Minimum number of requests for their refused fraction to be used.
   double min_requests = 10;
-  // Part turned away for each refused part. Above 1, so that the less urgent
-  // requests are served a little less than the more urgent ones.
+  // Ratio of the fraction to shed to the refused fraction. Above 1, so that the
+  // less urgent requests are served a little less than the more urgent ones.
   double gain = 1.5;
-  // Some always go on: when the shortage ends, nobody would notice it else.
+  // Some requests always pass, as otherwise the end of a shortage would not be
+  // noticed.
   double max_shed_fraction = 0.9;
 };
 
-// A count that fades.
+// A count that decays exponentially.
 struct DecayingCount {
   double count = 0;
   TimePoint updated_at;
@@ -73,54 +73,55 @@
 
   ShortageSettings settings;
   std::map<std::pair<std::string, Priority>, Row> own_demand;
-  // What the other nodes told last.
+  // Latest reports of the other nodes, by node.
   std::map<std::string, std::vector<ShortageReport>> peer_reports;
-  // Calls that the upstream beside this node made, and those that the others
-  // told of.
+  // Calls that the upstream beside this node made, and those that the other
+  // nodes reported.
   std::set<CallReport> own_calls;
   std::map<std::string, std::vector<CallReport>> peer_calls;
 };
 
-// A request of `priority` to `service` has ended; `refused` when it found no
-// room.
+// Records that a request of `priority` to `service` has ended; `refused` if the
+// service had no capacity for it.
 void RecordDemand(ShortageTable& table,
                   const std::string& service,
                   Priority priority,
                   bool refused,
                   TimePoint now);
 
-// A running request of `route` has called `service`.
+// Records that a running request of `route` has called `service`.
 void RecordCall(ShortageTable& table,
                 const std::string& route,
                 const std::string& service);
 
-// Forgets the calls of routes that are gone, or the rows would be used up by
-// those of earlier configurations.
+// Drops the calls of all routes not in `routes`; otherwise those of earlier
+// configurations would use up the limited number of rows.
 void RetainRoutes(ShortageTable& table,
                   const std::set<std::string_view>& routes);
 
-// What this node tells the others: nothing while nobody is refused.
+// Reports of this node for the other nodes. Services that refuse nothing are
+// left out.
 [[nodiscard]] std::vector<ShortageReport> ShortageReportsOf(
     const ShortageTable& table,
     TimePoint now);
 [[nodiscard]] std::vector<CallReport> CallReportsOf(const ShortageTable& table);
 
-// What another node told; it replaces what that node told before.
+// Replaces the reports of another node by its latest ones.
 void ReplacePeerShortage(ShortageTable& table,
                          const std::string& node,
                          std::vector<ShortageReport> reports,
                          std::vector<CallReport> calls);
 void RemovePeerShortage(ShortageTable& table, const std::string& node);
 
-// Part of the requests to `service` that find no room, 0..1, of those that are
-// at least as urgent as `priority`, over all nodes.
+// Fraction, 0..1, of the requests to `service` that are refused for lack of
+// capacity, among those at least as urgent as `priority`, over all nodes.
 [[nodiscard]] double RefusedFraction(const ShortageTable& table,
                                      std::string_view service,
                                      Priority priority,
                                      TimePoint now);
 
-// Part of the requests of `route` that should be turned away at once because a
-// service that they call is short of room, 0..1.
+// Fraction, 0..1, of the requests of `route` to shed at once because a service
+// that they call is short of capacity.
 [[nodiscard]] double FractionToShed(const ShortageTable& table,
                                     std::string_view route,
                                     Priority priority,
--- a/include/teaselspread/suspects.h
+++ b/include/teaselspread/suspects.h
@@ -1,7 +1,7 @@
-// Requests that may crash the upstream that runs them.
+// Tracks requests that may crash the upstream that runs them.
 //
-// Rows merge by maximum, so nodes can pass them on by rumour in any order and
-// as often as they like.
+// Rows merge by maximum, so rumours may deliver them in any order and more than
+// once.
 #ifndef TEASELSPREAD_SUSPECTS_H_
 #define TEASELSPREAD_SUSPECTS_H_
 
@@ -15,7 +15,7 @@
 
 namespace teaselspread {
 
-// Hash of what makes a request the same one when its caller sends it again.
+// Hash that identifies a request when its caller retries it.
 using Fingerprint = std::uint64_t;
 
 // Hash of method, path and body digest. Thread safe.
@@ -28,10 +28,10 @@
 // "clear", "alone" or "refused". Thread safe.
 [[nodiscard]] std::string_view NameOf(SuspectState state);
 
-// One row, as it is passed on: what one node (one incarnation of it) counted
-// of one request. Each node raises only the crashes of its own rows, so that
-// two crashes seen at the same time by two nodes add up to two. `cleared` is
-// raised by any node to the crashes that it knew of when a clean run ended.
+// One row, as sent between nodes: the counts of one request by one incarnation
+// of a node. Each node raises `crashes` only in its own rows, so that two
+// crashes seen at the same time by two nodes add up to two. Any node may raise
+// `cleared` to the crashes that it knew of when a clean run ended.
 struct SuspectRow {
   Fingerprint fingerprint = 0;
   std::uint64_t origin = 0;
@@ -51,9 +51,10 @@
 };
 
 struct SuspectSettings {
-  // How long a crash counts after the last one.
+  // How long crashes count after the last one.
   Duration retention = std::chrono::minutes(10);
-  // Crashes not cleared by a clean run after which a request is refused.
+  // Number of crashes not cleared by a clean run from which a request is
+  // refused.
   std::uint32_t crash_limit = 2;
 };
 
@@ -65,25 +66,25 @@
   std::unordered_map<Fingerprint, std::vector<SuspectRow>> rows;
 };
 
-// What to do with a request. Not thread safe.
+// Whether a request runs normally, alone or not at all. Not thread safe.
 [[nodiscard]] SuspectState StateOf(const SuspectTable& table,
                                    Fingerprint fingerprint,
                                    TimePoint now);
 
-// The upstream died while `in_flight` ran there. Returns the rows to pass on.
-// Not thread safe.
+// Counts a crash of the upstream while `in_flight` ran there. Returns the rows
+// to send to other nodes. Not thread safe.
 std::vector<SuspectRow> OnCrash(SuspectTable& table,
                                 std::span<const Fingerprint> in_flight,
                                 TimePoint now);
 
-// A suspect ran alone and the upstream lived. Returns the rows to pass on. Not
-// thread safe.
+// Clears a suspect that ran alone without a crash of the upstream. Returns the
+// rows to send to other nodes. Not thread safe.
 std::vector<SuspectRow> OnCleanRun(SuspectTable& table,
                                    Fingerprint fingerprint,
                                    TimePoint now);
 
-// Takes in rows from another node; returns those that were news, to pass on.
-// Not thread safe.
+// Merges rows from another node. Returns those that changed the table, to be
+// sent on. Not thread safe.
 std::vector<SuspectRow> MergeSuspects(SuspectTable& table,
                                       std::span<const SuspectRow> rows,
                                       TimePoint now);
--- a/include/teaselspread/time_spent.h
+++ b/include/teaselspread/time_spent.h
@@ -1,11 +1,11 @@
-// How long a caller has waited before it sent this attempt.
+// Estimates how long a caller has waited before it sent this attempt.
 //
-// A caller that was refused comes back with what is left of its time, and its
-// answer is late if it comes later than the aim after its first attempt.
-// Nothing in a request says that it is a repeat. But callers of a route give
-// the same few deadlines when they ask for the first time, and what is left of
-// one is any number below it. Counted from their last attempt those who come
-// back look early, and make everybody late under overload.
+// A refused caller retries with its remaining time, and its response is late if
+// it comes later than the aim after its first attempt. Nothing in a request
+// marks it as a retry. But first attempts on a route use the same few
+// deadlines, while the remaining time of a retry is any number below one of
+// them. If the aim counted from the latest attempt, retries would seem early
+// and make all requests late under overload.
 //
 // Pure. Nothing here is thread safe.
 #ifndef TEASELSPREAD_TIME_SPENT_H_
@@ -19,18 +19,17 @@
 namespace teaselspread {
 
 struct TimeSpentSettings {
-  // Part of a route's requests that give one deadline, to the millisecond, for
-  // it to count as one of first attempts. What is left of a deadline is spread
-  // over hundreds of milliseconds.
+  // Minimum fraction of a route's requests with the same deadline, to the
+  // millisecond, for it to count as a deadline of first attempts. The remaining
+  // times of retries are spread over hundreds of milliseconds.
   double usual_fraction = 0.05;
-  // Requests before anything is said.
+  // Minimum number of requests for an estimate.
   double min_requests = 20;
-  // Counts are halved when so many were seen, so that a new usual deadline is
-  // learnt.
+  // Counts are halved at this total, so that a new usual deadline is learnt.
   double max_requests = 500;
 };
 
-// The deadlines that the callers of one route gave, in milliseconds.
+// Counts of the deadlines that callers of one route gave, in milliseconds.
 struct DeadlineHistory {
   TimeSpentSettings settings;
   std::map<std::int64_t, double> counts;
@@ -39,8 +38,8 @@
 
 void RecordDeadline(DeadlineHistory& history, Duration deadline);
 
-// What lies between this deadline and the next usual one above it; zero when it
-// is usual itself or none above it is.
+// Time between this deadline and the next usual one above it; zero if it is
+// usual itself or there is none above it.
 [[nodiscard]] Duration TimeSpent(const DeadlineHistory& history,
                                  Duration deadline);
 
--- a/include/teaselspread/upstream_model.h
+++ b/include/teaselspread/upstream_model.h
@@ -1,9 +1,9 @@
-// What nodes know of how long an upstream takes: by route, since one service
-// may run lookups of milliseconds beside reads of a second, and as the work
-// that waits there.
+// Mean run times of an upstream that its node reports to the others, by route,
+// since one service may run lookups of milliseconds beside reads of a second.
 //
-// With one mean over all routes short requests look late everywhere and go far
-// for nothing, long ones look quick and miss their aim.
+// With one mean over all routes, short requests would seem late everywhere and
+// be sent to distant upstreams for no gain, and long ones would seem short and
+// miss their aim.
 //
 // Pure. Nothing here is thread safe.
 #ifndef TEASELSPREAD_UPSTREAM_MODEL_H_
@@ -19,7 +19,7 @@
 
 namespace teaselspread {
 
-// Mean time of one route's runs at one upstream.
+// Mean run time of one route at one upstream.
 struct RouteTime {
   std::string route;
   std::uint32_t mean_ms = 0;
@@ -27,20 +27,21 @@
   bool operator==(const RouteTime&) const = default;
 };
 
-// Running estimate of how long one route's requests take.
+// Moving average of the run time of one route.
 struct ServiceTime {
   double mean_us = 0;
 };
 
 using ServiceTimes = std::map<std::string, ServiceTime, std::less<>>;
 
-// Brings `told` up to date with `measured`. A time changes with every run, and
-// each change that is told costs every node a frame: it is told again when it
-// is off by more than a fifth. Routes beyond the first 32 are left out.
+// Updates `reported` from `measured`. A mean changes with every run, and each
+// reported change costs every node a frame, so a time is reported again only
+// when it differs by more than a fifth and more than 1 ms. Routes beyond the
+// first 32 are left out.
 void UpdateReportedTimes(std::vector<RouteTime>& reported,
                          const ServiceTimes& measured);
 
-// The time told for `route`; zero for none.
+// The reported time of `route`; zero if there is none.
 [[nodiscard]] Duration ReportedTimeOf(const std::vector<RouteTime>& reported,
                                       std::string_view route);
 
--- a/include/teaselspread/waiting_settings.h
+++ b/include/teaselspread/waiting_settings.h
@@ -1,19 +1,19 @@
-// How long requests may wait at a gate.
+// Limits on the time that requests may wait at a gate.
 #ifndef TEASELSPREAD_WAITING_SETTINGS_H_
 #define TEASELSPREAD_WAITING_SETTINGS_H_
 
 namespace teaselspread {
 
 struct WaitingSettings {
-  // How far past its aim a request may be expected to end and still wait, as a
-  // part of the time from its aim to its deadline. Under lasting overload a
-  // queue that is as long as deadlines allow makes every answer late; a short
-  // one gives as many answers, in time, and tells the rest at once.
+  // How far past its aim a queued request may be expected to end, as a fraction
+  // of the time from its aim to its deadline. Under sustained overload a queue
+  // as long as deadlines allow makes every response late; a short one has the
+  // same throughput, responds in time and refuses the rest at once.
   double late_part = 0.0;
-  // Part of the time between now and the last start in time that a request may
-  // be expected to wait. More urgent ones overtake it, and runs differ in
-  // length: with a queue as long as the aim allows on paper, under lasting
-  // overload nearly all that wait end just after it.
+  // Maximum expected wait, as a fraction of the time from now to the latest
+  // start that meets the aim. More urgent requests overtake, and run times
+  // vary: if the whole time were allowed, nearly all queued requests would end
+  // just after their aim under sustained overload.
   double wait_part = 0.5;
 };
 
--- a/include/teaselspread/weighted_turns.h
+++ b/include/teaselspread/weighted_turns.h
@@ -1,4 +1,4 @@
-// Turns in proportion to weights, spread evenly and without chance.
+// Deterministic smooth weighted round robin.
 #ifndef TEASELSPREAD_WEIGHTED_TURNS_H_
 #define TEASELSPREAD_WEIGHTED_TURNS_H_
 
@@ -9,16 +9,16 @@
 
 namespace teaselspread {
 
-// The credit of each part; carries over from turn to turn.
+// The credit of each index, kept from call to call.
 struct WeightedRoundRobin {
   std::vector<std::int64_t> credits;
 };
 
-// Index of the part whose turn it is, by smooth weighted round robin: among
-// any N turns a part gets its share of N to within one turn. Drawing at random
-// would be off by several in a hundred over some hundred requests. Starts anew
-// when the number of parts changes. Precondition: some weight is above zero.
-// Not thread safe.
+// Next index by smooth weighted round robin: in any N calls, each index is
+// returned in proportion to its weight to within one. Random choice would be
+// off by several in a hundred over some hundred requests. Resets when the
+// number of weights changes. Precondition: some weight is above zero. Not
+// thread safe.
 [[nodiscard]] std::size_t NextIndex(WeightedRoundRobin& round_robin,
                                     std::span<const std::uint32_t> weights);
 
--- a/src/admission/estimate.cc
+++ b/src/admission/estimate.cc
@@ -5,7 +5,8 @@
 namespace teaselspread {
 namespace {
 
-// Weight of the newest run: about the last ten runs count.
+// Weight of the newest run in the moving average: about the last ten runs
+// count.
 constexpr double kNewestWeight = 0.1;
 
 void UpdateMean(ServiceTime& time, double run_time_us) {
--- a/src/admission/estimate.h
+++ b/src/admission/estimate.h
@@ -1,4 +1,4 @@
-// Estimates of service time and wait, private to admission.
+// Estimates of service time and waiting time, private to admission.
 #ifndef TEASELSPREAD_ADMISSION_ESTIMATE_H_
 #define TEASELSPREAD_ADMISSION_ESTIMATE_H_
 
@@ -9,23 +9,23 @@
 
 namespace teaselspread {
 
-// One run of `route` took this long. Not thread safe.
+// Adds the time of one run of `route` to the estimates. Not thread safe.
 void RecordServiceTime(Gatekeeper& gate,
                        const std::string& route,
                        Duration run_time);
 
-// Time until a slot frees for a request behind waiting ones that take `ahead`
-// together. Not thread safe.
+// Expected time until a slot is free for a request behind queued ones whose run
+// times add up to `ahead`. Not thread safe.
 [[nodiscard]] Duration ExpectedWait(const Gatekeeper& gate, Duration ahead);
 
-// The last moment at which it may start and still make its deadline. Not
+// Latest start at which the request is expected to meet its deadline. Not
 // thread safe.
 [[nodiscard]] TimePoint LatestStart(const Gatekeeper& gate,
                                     const Arrival& arrival);
 
-// The last moment at which a request that arrives now may be expected to start
-// and still be let in to wait: earlier than LatestStart where answers are worth
-// less after the aim. Not thread safe.
+// Latest expected start with which a request that arrives now may be queued:
+// earlier than LatestStart if it has an aim before its deadline, since a
+// response after the aim has less value. Not thread safe.
 [[nodiscard]] TimePoint LatestAdmissibleStart(const Gatekeeper& gate,
                                               const Arrival& arrival,
                                               TimePoint now);
--- a/src/admission/gatekeeper.cc
+++ b/src/admission/gatekeeper.cc
@@ -20,8 +20,8 @@
   return has_aim ? std::min(arrival.aim, arrival.deadline) : arrival.deadline;
 }
 
-// Those who come back after the queue has cleared find room; those who come
-// back together would find none, so the time is spread.
+// Retry-After covers the time to drain the queue, so that retries find room. It
+// has jitter, as callers that retry all at once would find none.
 Refusal MakeRefusal(Gatekeeper& gate,
                     std::uint64_t id,
                     ErrorKind kind,
@@ -67,8 +67,8 @@
   return result;
 }
 
-// While a suspect waits, no other starts: else a busy upstream would never be
-// idle, and the suspect would wait for ever.
+// No other request starts while a suspect waits: otherwise a busy upstream
+// would never be idle and the suspect would starve.
 bool HasFreeSlot(const Gatekeeper& gate) {
   return gate.running < gate.settings.slots && !gate.running_alone &&
          gate.suspect_queue.empty() && gate.ready;
--- a/src/admission/shortage.cc
+++ b/src/admission/shortage.cc
@@ -7,8 +7,7 @@
 namespace teaselspread {
 namespace {
 
-// Rows kept at most: routes that make calls are few, and a node that is told of
-// more than this is told nonsense.
+// Maximum number of rows. Few routes make calls, so a longer report is invalid.
 constexpr std::size_t kMaxCalls = 64;
 
 double DecayedCount(const ShortageSettings& settings,
--- a/src/retry/retry.cc
+++ b/src/retry/retry.cc
@@ -13,8 +13,8 @@
                     "refused-deadline",     "refused-budget",
                     "refused-attempts",     "refused-no-other"};
 
-// Kinds that a second attempt on another upstream can mend, if the request is
-// idempotent. The caller's own mistakes and its cancellation stay as they are.
+// Whether a retry on another upstream may succeed, if the request is
+// idempotent. Errors of the caller and its cancellation would not change.
 bool MaySucceedElsewhere(ErrorKind kind) {
   const ErrorAnswer& answer = AnswerOf(kind);
   if (answer.retry_elsewhere)
--- a/src/routing/choose.cc
+++ b/src/routing/choose.cc
@@ -5,17 +5,17 @@
 namespace teaselspread {
 namespace {
 
-// Load that an answer carried back halves in this time: what others sent a
-// while ago has been served since.
+// Half-life of the load that a response reported: requests that other nodes
+// sent before have been served since.
 constexpr Duration kLoadHalfLife = std::chrono::milliseconds(50);
-// Older than this it says nothing. A remnant of it, however small, would make
-// a target lose every comparison with an idle one that was never heard of.
+// Reported load older than this is ignored. A remnant, however small, would
+// make a target lose every comparison with an idle one that never reported any.
 constexpr Duration kMaxLoadAge = std::chrono::seconds(1);
-// What answers said of failures and time halves in this time.
+// Half-life of failure ratio and latency.
 constexpr Duration kResponseHalfLife = std::chrono::seconds(5);
 constexpr double kMinWeight = 0.1;
-// Draws before a full scan. With the cap on ejections two thirds of a group
-// are in, so that eight draws all miss once in 6,561.
+// Maximum draws before a full scan. With the cap on ejections two thirds of a
+// group are usable, so eight draws all miss once in 6,561 times.
 constexpr int kMaxDraws = 8;
 
 double Decay(Duration age, Duration half_life) {
@@ -41,7 +41,7 @@
   return load * (1 + failures) / (target.slots * WarmUpWeight(target, now));
 }
 
-// How many times slower `target` is than `other`; 1 if not known of both.
+// Latency of `target` relative to `other`; 1 unless both are known.
 double LatencyRatio(const ChoiceSettings& settings,
                     const Target& target,
                     const Target& other,
@@ -71,7 +71,7 @@
          excluded.end();
 }
 
-// While it warms up the own upstream has fewer slots to offer, too.
+// While it warms up, the own upstream counts with fewer slots, too.
 bool OwnHasFreeSlot(const UpstreamTable& table,
                     const Target& own,
                     TimePoint now) {
--- a/src/routing/match.cc
+++ b/src/routing/match.cc
@@ -5,7 +5,7 @@
 namespace teaselspread {
 namespace {
 
-// "/bundles" must not catch "/bundles-archive", which is another route's.
+// "/bundles" must not match "/bundles-archive", which belongs to another route.
 bool PrefixMatches(std::string_view prefix, std::string_view path) {
   if (!path.starts_with(prefix))
     return false;
--- a/src/routing/placement.cc
+++ b/src/routing/placement.cc
@@ -31,15 +31,16 @@
   return settings.crossing_cost * std::sqrt(size);
 }
 
-// Chance that an answer expected after `part` of its aim comes later than it.
+// Probability that a response expected after `aim_fraction` of its aim comes
+// after the aim.
 double LateProbability(const PlacementSettings& settings, double aim_fraction) {
   if (aim_fraction <= 0)
     return 0;
   return 1 / (1 + std::pow(aim_fraction, -settings.late_exponent));
 }
 
-// An upstream that nobody has measured is taken to be as fast as the fastest:
-// with a guess that is slower than the others it would never be measured.
+// Assumed run time of an upstream without measurements: that of the fastest
+// one. With an estimate slower than the others it would never be measured.
 Duration FastestRunTime(const PlacementSettings& settings,
                         std::span<const Candidate> candidates) {
   Duration fastest{};
@@ -51,7 +52,7 @@
   return fastest > Duration{0} ? fastest : settings.default_run_time;
 }
 
-// Time until a slot frees for the request.
+// Expected time until a slot is free for the request, in microseconds.
 double ExpectedWaitUs(const Candidate& candidate,
                       const PlacedRequest& request,
                       double run_us) {
@@ -65,7 +66,8 @@
           : run_us;
   if (request.skips_queue)
     return mean_us / slots;
-  // Of those that the gate has not told of nothing but their number is known.
+  // For waiting requests that the gate has not reported, only the number is
+  // known.
   const double unreported = std::max(0.0, ahead - candidate.waiting);
   const auto queued_us = static_cast<double>(candidate.queued_time.count());
   return (queued_us + unreported * mean_us) / slots;
--- a/src/routing/targets.cc
+++ b/src/routing/targets.cc
@@ -46,8 +46,8 @@
   return target;
 }
 
-// A new ready_since is a new process: what is known of the old one's faults
-// says nothing of it. Requests in flight go on being counted.
+// A new ready_since means a new process, to which the failures of the old one
+// do not apply. Requests in flight are still counted.
 void CopyKnownState(Target& target, const Target& before) {
   target.in_flight = before.in_flight;
   if (target.ready_since != before.ready_since)
@@ -62,7 +62,7 @@
   target.ejected_until = before.ejected_until;
 }
 
-// Sorted, so that an answer finds its target among thousands quickly.
+// Allows a response's target to be found by binary search among thousands.
 void SortById(TargetGroup& group) {
   std::sort(group.targets.begin(), group.targets.end(),
             [](const Target& a, const Target& b) { return a.id < b.id; });
@@ -86,7 +86,8 @@
   return index;
 }
 
-// A return that failed, or enough failures in a row.
+// True after a failure that follows an ejection, or after enough consecutive
+// failures.
 bool IsFaulty(const EjectionSettings& settings, const Target& target) {
   if (target.consecutive_ejections > 0)
     return true;
@@ -126,7 +127,7 @@
     Eject(settings, target, now);
 }
 
-// Answers to requests sent before an ejection may still be good; they do not
+// Responses to requests sent before an ejection may still succeed; they do not
 // show that the target has recovered.
 void CountSuccess(Target& target, TimePoint now) {
   target.consecutive_failures = 0;
@@ -134,7 +135,7 @@
     target.consecutive_ejections = 0;
 }
 
-// A failure's time is left out: one that fails at once is not quick.
+// The time of a failure is ignored: a target that fails at once is not fast.
 void UpdateAverages(Target& target,
                     ResponseKind kind,
                     Duration response_time,
--- a/src/upstream/upstream_lease.cc
+++ b/src/upstream/upstream_lease.cc
@@ -12,27 +12,27 @@
 constexpr std::array<std::string_view, 4> kStateNames = {"none", "ready",
                                                          "leaving", "lost"};
 
-// Enough for the processes whose late heartbeats may still come.
+// Enough for the processes whose late heartbeats may still arrive.
 constexpr std::size_t kMaxLeftProcesses = 8;
-// Heartbeats may come this much late. After it a heartbeat under the name of a
-// process that left is news of another.
+// Maximum delay of a heartbeat. After it, a heartbeat with the name of a
+// process that left comes from another process.
 constexpr Duration kMaxHeartbeatDelay = std::chrono::seconds(10);
 
 bool SameProcess(const UpstreamHeartbeat& a, const UpstreamHeartbeat& b) {
   return a.instance == b.instance && a.born_ms == b.born_ms;
 }
 
-// Processes that do not tell their start are told apart by name only, and the
-// later call wins.
+// Processes that do not report their start time are distinguished by name only,
+// and the later call wins.
 bool IsOlderProcess(const UpstreamHeartbeat& heartbeat,
                     const UpstreamHeartbeat& held) {
   return heartbeat.born_ms != 0 && held.born_ms != 0 &&
          heartbeat.born_ms < held.born_ms;
 }
 
-// A leave call may name no birth. The first process of the name that is past
-// its first heartbeat is then the one that left: a new one counts from the
-// start.
+// A leave call may give no start time. The process that left is then the first
+// one of that name with a heartbeat after its first, since the sequence of a
+// new process starts at 1.
 bool HasLeft(UpstreamLease& lease,
              const UpstreamHeartbeat& heartbeat,
              TimePoint now) {
@@ -68,9 +68,9 @@
     if (IsOlderProcess(heartbeat, held))
       return HeartbeatResult::kStale;
     if (SameProcess(heartbeat, held)) {
-      // A heartbeat whose answer was lost is sent again with its number. One
-      // with a lower number is late, unless the process may have started anew
-      // under its name without telling when.
+      // A heartbeat whose response was lost is sent again with the same number.
+      // One with a lower number is late, unless the process may have restarted
+      // under its name without reporting its start time.
       const bool may_be_new =
           heartbeat.born_ms == 0 && StateOf(lease, now) == LeaseState::kLost;
       if (heartbeat.sequence < held.sequence && !may_be_new)
--- a/tests/unit/admission_test.cc
+++ b/tests/unit/admission_test.cc
@@ -36,8 +36,8 @@
   return Finish(gate, id, Ms(10), true, now, rng);
 }
 
-// More requests come than the upstream has slots. One too many would be shed
-// or would slow down all of them.
+// More requests arrive than the upstream has slots. One too many would be shed
+// by the upstream or would slow down all of them.
 Test(admission, slots_are_never_exceeded) {
   Gatekeeper gate;
   SetUp(gate, 3, Ms(10));
@@ -51,12 +51,13 @@
   const GateActions actions = FinishOne(gate, 1, kStart);
   cr_assert(actions.run.size() == 1);
   cr_assert(gate.running == 3);
-  cr_assert(FinishOne(gate, 1, kStart).run.empty(), "a second end is ignored");
+  cr_assert(FinishOne(gate, 1, kStart).run.empty(),
+            "a second Finish is ignored");
 }
 
-// Lookups of 10 ms wait before a request that has 60 ms left, beside reads of a
-// second that run and wait nowhere. Counted at the mean of all runs they would
-// take a second together, and a request that could be served is refused.
+// Lookups of 10 ms are queued ahead of a request that has 60 ms left, while
+// reads of a second run. With the mean of all runs as the estimate, the queue
+// would seem to take a second, and a request that could be served is refused.
 Test(admission, expected_wait_sums_the_times_of_queued_requests) {
   Gatekeeper gate;
   SetUp(gate, 4, Ms(100));
@@ -75,16 +76,16 @@
   for (int i = 0; i < 4; ++i)
     cr_assert(arrive("lookup", Ms(200)) == Admission::kQueued);
   cr_assert(QueuedTime(gate) == Ms(40));
-  // Ten for those before it and 25 until a slot frees, of 90 / 2.
+  // 10 ms for those ahead and 25 ms until a slot is free, of 90 / 2 ms.
   cr_assert(arrive("lookup", Ms(200)) == Admission::kQueued);
-  // Behind a read that waits it would start too late.
+  // Behind a queued read it would start too late.
   (void)arrive("read", Ms(150));
   cr_assert(QueuedTime(gate) > Ms(40));
 }
 
-// Callers that were refused come back with little of their time left. Let in by
-// their deadlines they overtake those who come for the first time, whose
-// answers then come late as well: under overload nobody is answered in time.
+// Callers that retry after a refusal have little time left. Ordered by deadline
+// they would overtake first attempts, whose responses would then be late as
+// well: under overload no response would be in time.
 Test(admission, retries_do_not_overtake_first_attempts) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(10));
@@ -101,8 +102,8 @@
   cr_assert(next == std::vector<std::uint64_t>(1, 2));
 }
 
-// Rate lookups of other services wait behind founders' reports. Every report
-// that needs a rate is then late.
+// If rate lookups of other services waited behind founders' reports, every
+// report that needs a rate would be late.
 Test(admission, internal_lookups_run_first_then_the_earliest_deadline) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(1));
@@ -116,8 +117,8 @@
   cr_assert(FinishOne(gate, 3, kStart).run.front() == 2);
 }
 
-// The queue is full of reports when a lookup comes. Refusing the lookup would
-// hold up more than one report.
+// The queue is full of reports when a lookup arrives. Refusing the lookup would
+// delay more than one report.
 Test(admission, a_lookup_takes_the_place_of_a_report_in_a_full_queue) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(1));
@@ -134,9 +135,9 @@
   cr_assert(gate.refusals.Get(ErrorKind::kQueueFull) == 2);
 }
 
-// Ten requests wait and each takes 100 ms on one slot. One with 300 ms left
-// cannot make it; kept waiting, its caller would learn that too late to go
-// elsewhere.
+// Ten requests of 100 ms each are queued for one slot. One with 300 ms left
+// cannot meet its deadline; if it were queued, its caller would be refused too
+// late to try another node.
 Test(admission, what_cannot_make_its_deadline_is_refused_at_once) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(100));
@@ -150,8 +151,8 @@
   cr_assert(late.refusal->retry_after >= gate.settings.retry_after);
 }
 
-// The run ahead takes longer than expected. The one behind it is told as soon
-// as it cannot be served any more, not when its deadline has passed.
+// The running request takes longer than expected. The queued one is refused as
+// soon as it can no longer be served in time, not when its deadline has passed.
 Test(admission, a_waiting_request_is_refused_before_its_deadline) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(100));
@@ -167,8 +168,8 @@
   cr_assert(!NextExpiry(gate).has_value());
 }
 
-// Hundreds are refused in the same instant. Told the same Retry-After they
-// would all come back in the same instant, too.
+// Hundreds of callers are refused at the same time. With the same Retry-After
+// they would all retry at the same time, too.
 Test(admission, refused_callers_get_different_retry_after_times) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(10));
@@ -183,8 +184,8 @@
   cr_assert(*times.rbegin() - *times.begin() > Ms(400));
 }
 
-// A request may crash the upstream. It waits until nothing else runs, and
-// nothing starts beside it, so that a crash takes nobody else along.
+// A request may crash the upstream. It waits until no other request runs, and
+// none starts beside it, so that a crash fails no other request.
 Test(admission, a_suspect_runs_alone_and_is_not_starved) {
   Gatekeeper gate;
   SetUp(gate, 2, Ms(10));
@@ -202,8 +203,8 @@
   cr_assert(FinishOne(gate, 3, kStart).run.size() == 2);
 }
 
-// The node is told to stop while requests run and wait. Those that wait go
-// elsewhere at once; those that run are not cut.
+// The node has to stop while requests run and wait. Queued requests are refused
+// at once and can be retried elsewhere; running ones are not interrupted.
 Test(admission, leaving_refuses_what_waits_and_keeps_what_runs) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(10));
@@ -218,8 +219,8 @@
   cr_assert(arrived.refusal->kind == ErrorKind::kLeaving);
 }
 
-// Paralegals upload many exhibits at once. Without a budget their bodies fill
-// the VM's memory and the process is killed.
+// Without a budget, the bodies of many concurrent uploads would fill the VM's
+// memory, and the process would be killed.
 Test(admission, bodies_stay_within_the_memory_budget) {
   Gatekeeper gate;
   SetUp(gate, 4, Ms(10));
@@ -246,8 +247,8 @@
   cr_assert(OpenConnection(gate));
 }
 
-// The estimate was learned while the upstream was slow. If it refused all that
-// come on its strength, no run would ever teach it better.
+// The estimate dates from a time when the upstream was slow. If it alone caused
+// all requests to be refused, no run could ever correct it.
 Test(admission, a_free_slot_is_used_whatever_the_estimate_says) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(60000));
@@ -256,7 +257,7 @@
             Admission::kRun);
 }
 
-// The upstream's announcement lapses while requests wait for it.
+// The upstream's announcement expires while requests wait for it.
 Test(admission, a_lost_upstream_refuses_what_waits) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(10));
--- a/tests/unit/overload_test.cc
+++ b/tests/unit/overload_test.cc
@@ -1,4 +1,4 @@
-// Load patterns replayed against the decisions on a virtual clock.
+// Replays load patterns against the gatekeeper on a virtual clock.
 #include "teaselspread/admission.h"
 
 #include <criterion/criterion.h>
@@ -19,27 +19,27 @@
   int requests = 0;
   int within_aim = 0;
   int late = 0;
-  // An answer after the aim is worth three tenths of one before it.
+  // A response after the aim has three tenths of the value of one before it.
   [[nodiscard]] double MeanValue() const {
     return (this->within_aim + 0.3 * this->late) / this->requests;
   }
 };
 
-// One upstream gets `times` what it can carry for a minute. Answers are worth
-// most within the aim, and callers leave after their deadline.
+// For a minute, one upstream is offered `overload_factor` times its capacity.
+// Responses have full value within the aim and none after the deadline.
 struct Load {
   double overload_factor = 1;
   int slots = 12;
   double sigma = 0.3;
   Duration aim = Ms(400);
   Duration deadline = Ms(1000);
-  // One in so many requests is more urgent than the others; 0 for none.
+  // One in this many requests is more urgent than the others; 0 for none.
   unsigned urgent_every = 0;
   double late_part = 0;
   double wait_part = 1;
 };
 
-// What became of the requests that are not urgent.
+// Counts the outcomes of the requests that are not urgent.
 Tally Replay(const Load& load, std::uint64_t seed) {
   constexpr double kMeanMs = 100;
   Gatekeeper gate;
@@ -99,9 +99,10 @@
   return tally;
 }
 
-// Callers come half again as often as their upstream can answer. A queue that
-// is as long as their patience makes nearly every answer late, and so worth
-// little; a queue as long as the aim gives as many answers, in time.
+// Requests arrive at 1.5 times the upstream's capacity. A queue as long as
+// deadlines allow makes nearly every response late and so of little value; a
+// queue as long as the aim allows has the same throughput, with responses in
+// time.
 Test(overload, a_short_queue_keeps_answers_in_time) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const Tally long_queue =
@@ -115,9 +116,9 @@
   }
 }
 
-// More comes than can be carried, for long. A queue as long as the aim
-// allows on paper fills up and stays full, and each request in it is overtaken
-// by more urgent ones: callers wait, and most answers come just too late.
+// Under sustained overload, a queue as long as the aim allows in theory fills
+// up and stays full. More urgent requests overtake each queued one, so most
+// responses are just too late.
 Test(overload, overtaken_requests_are_still_answered_in_time) {
   Load load;
   load.overload_factor = 1.35;
@@ -137,7 +138,7 @@
   }
 }
 
-// Below what the upstream can carry the rule must not turn anybody away.
+// Below the upstream's capacity a short queue must refuse nothing.
 Test(overload, a_short_queue_costs_nothing_at_usual_load) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const Tally tally = Replay(
--- a/tests/unit/placement_test.cc
+++ b/tests/unit/placement_test.cc
@@ -35,8 +35,8 @@
   cr_assert(PlaceOnce({}) == 0);
 }
 
-// With equal loads the own VM costs no way, and a data centre of its own is
-// cheaper than another.
+// With equal loads the own VM costs least, and the own data centre less than
+// another.
 Test(placement, prefers_the_nearer_of_equals) {
   PlacementSettings exact;
   exact.spread = 0;
@@ -49,8 +49,8 @@
   cr_assert(own < near && near < far);
 }
 
-// A full upstream at home and an idle one across: a wait of half its run time
-// is dearer than the way.
+// A full upstream in the own data centre ("home") and an idle one in another
+// ("across"): a wait of half a run time costs more than the crossing.
 Test(placement, goes_across_when_home_is_full) {
   const std::size_t chosen =
       PlaceOnce({MakeCandidate(Distance::kOwnVm, 15),
@@ -58,9 +58,9 @@
   cr_assert(chosen == 1);
 }
 
-// On a quiet day upstreams at home answer in a third of the aim, others across
-// in a sixth of it. Nobody gains by the faster ones: both are in time, and each
-// answer that comes from across is paid for by the kilobyte.
+// At low load, upstreams at home respond in a third of the aim and those across
+// in a sixth. The faster ones bring no gain, since both are in time, and
+// traffic between data centres is paid for by the kilobyte.
 Test(placement, stays_at_home_while_home_is_well_in_time) {
   Candidate home = MakeCandidate(Distance::kOwnDataCenter, 3);
   home.run_time = Ms(90);
@@ -69,7 +69,7 @@
   cr_assert(PlaceOnce({home, across}, 5500) == 0);
 }
 
-// The same upstreams under load: at home an answer would take most of its aim,
+// The same upstreams under load: at home a response would take most of its aim,
 // and every second one would be late.
 Test(placement, goes_across_when_home_is_nearly_late) {
   Candidate home = MakeCandidate(Distance::kOwnDataCenter, 16);
@@ -79,10 +79,9 @@
   cr_assert(PlaceOnce({home, across}, 5500) == 1);
 }
 
-// Reads of a second run beside calls of 60 ms, and the calls have to be
-// answered in 150. At the mean of all runs a call looks late at home and
-// everywhere else, and goes to whichever upstream is fastest, across if need
-// be.
+// Reads of a second run beside calls of 60 ms that have an aim of 150 ms. With
+// the mean of all runs as its run time, a call would seem late everywhere and
+// be sent to the fastest upstream, even across.
 Test(placement, a_short_request_stays_at_home_beside_long_ones) {
   Candidate home = MakeCandidate(Distance::kOwnDataCenter, 5);
   home.run_time = Ms(60);
@@ -96,7 +95,8 @@
 }
 
 // Two reads wait at one upstream and two calls at the other, both of them full.
-// Counted alike, half of those that come next would wait behind the reads.
+// If only their number counted, half of the next requests would wait behind the
+// reads.
 Test(placement, prefers_a_queue_of_short_requests) {
   Candidate reads = MakeCandidate(Distance::kOwnVm, 12);
   reads.waiting = 2;
@@ -107,7 +107,7 @@
   cr_assert(PlaceOnce({reads, calls}) == 1);
 }
 
-// What goes before all that waits does not mind a queue.
+// For a request that runs before all queued ones, a queue costs little.
 Test(placement, a_request_that_skips_the_queue_stays_at_home) {
   Candidate home = MakeCandidate(Distance::kOwnVm, 20);
   home.waiting = 10;
@@ -121,7 +121,7 @@
   cr_assert(Place(PlacementSettings{}, candidates, request, rng) == 0);
 }
 
-// An upload of 60 KB costs as much across as a wait of 60 ms.
+// An upload of 60 KB across costs as much as a wait of 60 ms.
 Test(placement, keeps_large_requests_at_home_for_a_short_wait) {
   const std::vector<Candidate> candidates = {
       MakeCandidate(Distance::kOwnDataCenter, 11),
@@ -129,9 +129,9 @@
   cr_assert(PlaceOnce(candidates, 100000) == 0);
 }
 
-// Home is about to be late with a part of its requests. A small one gains more
-// by going across than its way costs, a large one does not: the line carries as
-// much as it must, and the small ones are what it carries first.
+// Home is about to be late with some of its requests. Crossing gains a small
+// request more than it costs, a large one less: the line carries no more than
+// needed, and small requests first.
 Test(placement, small_requests_go_across_before_large_ones) {
   Candidate home = MakeCandidate(Distance::kOwnDataCenter, 10);
   home.run_time = Ms(150);
@@ -141,9 +141,9 @@
   cr_assert(PlaceOnce({home, across}, 30000) == 0);
 }
 
-// An upstream fails part of its requests although it is well by its own
-// account. Without a look at its answers it would get more than its share,
-// since failures are quick.
+// An upstream fails some of its requests although it reports no fault. If its
+// responses were ignored it would get more than its share, since failures are
+// fast.
 Test(placement, avoids_a_failing_upstream) {
   Candidate failing = MakeCandidate(Distance::kOwnVm, 0);
   failing.failure_ratio = 0.3;
@@ -152,8 +152,8 @@
   cr_assert(chosen == 1);
 }
 
-// An upstream has just joined, and nobody knows how fast it is. The others
-// answer in 5 ms; guessed to be slower than that it never got a request.
+// An upstream has just joined, and its run time is unknown. The others respond
+// in 5 ms; with a slower estimate it would never get a request.
 Test(placement, tries_an_unmeasured_upstream) {
   Candidate fast = MakeCandidate(Distance::kOwnDataCenter, 1);
   fast.run_time = Ms(5);
@@ -163,7 +163,7 @@
 }
 
 // A route is split 90 to 10. Over 300 requests each part has to be within a few
-// of its share; drawn at random it is off by more now and then.
+// of its share; a random choice is sometimes off by more.
 Test(weighted_turns, keeps_to_the_weights_in_every_window) {
   WeightedRoundRobin round_robin;
   const std::vector<std::uint32_t> weights = {90, 10};
--- a/tests/unit/request_faults_test.cc
+++ b/tests/unit/request_faults_test.cc
@@ -31,8 +31,8 @@
   return DecideRetry(budget, attempt, kStart);
 }
 
-// An attempt fails in one way or another. Repeating one that may have run
-// files twice; not repeating one that did not run loses it for nothing.
+// Retrying an attempt that may have run could execute it twice; not retrying
+// one that did not run fails it without need.
 Test(retry, only_unexecuted_or_idempotent_requests_are_retried) {
   struct Case {
     ErrorKind kind;
@@ -61,7 +61,8 @@
   }
 }
 
-// The time left is shorter than an attempt takes, or nothing is left to try.
+// The remaining time is shorter than an attempt takes, or no upstream or
+// attempt is left.
 Test(retry, a_retry_needs_time_and_another_upstream) {
   FailedAttempt attempt = MakeFailed(ErrorKind::kQueueFull, true, false);
   attempt.deadline = kStart + Ms(5);
@@ -75,7 +76,7 @@
 }
 
 // Every attempt fails for minutes. Three attempts for each request would
-// triple the load on upstreams that are down from load already.
+// triple the load on upstreams that fail from overload already.
 Test(retry, a_lasting_fault_adds_no_more_than_the_budget) {
   RetryBudget budget;
   const auto failed = MakeFailed(ErrorKind::kUpstreamShed, true, true);
@@ -85,12 +86,12 @@
     ++sent;
     sent += IsRetry(DecideRetry(budget, failed, kStart));
   }
-  cr_assert(sent <= 11010, "%d sent for 10,000 asked", sent);
+  cr_assert(sent <= 11010, "%d sent for 10,000 requests", sent);
   cr_assert(budget.counters.Get(RetryReason::kRefusedBudget) > 8000);
 }
 
-// One request crashes each upstream that runs it, and its caller sends it
-// again. The others that were in flight are innocent and are sent again, too.
+// One request crashes each upstream that runs it, and its caller retries it.
+// The others that were in flight are harmless and are retried, too.
 Test(suspects, two_crashes_refuse_a_request_and_clean_runs_clear_others) {
   SuspectTable table;
   table.origin = 1;
@@ -108,8 +109,8 @@
             SuspectState::kClear);
 }
 
-// Two upstreams crash at the same moment and their nodes tell each other, in
-// any order and more than once. Counted as one crash, a third would follow.
+// Two upstreams crash at the same time, and their nodes exchange rows in any
+// order and more than once. If they counted as one crash, a third would follow.
 Test(suspects, crashes_seen_by_different_nodes_add_up_once) {
   const std::vector<Fingerprint> in_flight = {99};
   SuspectTable a;
@@ -119,7 +120,7 @@
   const auto from_a = OnCrash(a, in_flight, kStart);
   const auto from_b = OnCrash(b, in_flight, kStart);
   cr_assert(MergeSuspects(a, from_b, kStart).size() == 1);
-  cr_assert(MergeSuspects(a, from_b, kStart).empty(), "news only once");
+  cr_assert(MergeSuspects(a, from_b, kStart).empty(), "changed only once");
   MergeSuspects(b, from_a, kStart);
   cr_assert(StateOf(a, 99, kStart) == SuspectState::kRefused);
   cr_assert(StateOf(b, 99, kStart) == SuspectState::kRefused);
@@ -141,9 +142,9 @@
   return ids;
 }
 
-// A firewall between two nodes restarts and forgets all connections. They stay
-// open and say nothing. Tried one after the other, each would cost a request
-// its whole time without a byte.
+// A firewall between two nodes restarts and drops the state of all connections.
+// They stay open but deliver no byte. If each were tried in turn, each would
+// cost one request its whole time-out.
 Test(connections, one_silent_connection_replaces_the_others_of_its_age) {
   ConnectionPool pool;
   (void)OpenIdle(pool, 20);
@@ -158,7 +159,7 @@
   cr_assert(Acquire(pool, noticed).kind == AcquireKind::kOpen);
 }
 
-// The same, while a younger connection answers. It is not at fault and stays.
+// The same, while a younger connection delivers bytes. It works and is kept.
 Test(connections, a_connection_with_later_bytes_is_kept) {
   ConnectionPool pool;
   (void)OpenIdle(pool, 2);
@@ -176,8 +177,9 @@
   cr_assert(next.id == responding);
 }
 
-// An answer was cut, timed out or cancelled. The rest of it may still come and
-// would be taken for the answer to the next request on that connection.
+// A response was truncated, timed out or cancelled. The rest of it may still
+// arrive and would be taken for the response to the next request on that
+// connection.
 Test(connections, no_connection_is_reused_after_a_broken_response) {
   for (const ConnectionEnd end :
        {ConnectionEnd::kTimeout, ConnectionEnd::kCancelled,
--- a/tests/unit/routing_test.cc
+++ b/tests/unit/routing_test.cc
@@ -65,8 +65,8 @@
   }
 }
 
-// Two routes share the start of their paths. A clerk who asks for the archive
-// must not land on the live bundles.
+// Two routes share the start of their paths. A request for the archive must not
+// match the route of the live bundles.
 Test(routing, a_prefix_ends_at_a_segment) {
   Snapshot snapshot;
   RouteConfig bundles;
@@ -80,8 +80,8 @@
   cr_assert(MatchRoute(snapshot, "POST", "/bundles/7") == nullptr);
 }
 
-// An upstream leaves, warms up, or its node is suspected, while requests keep
-// coming. A request sent there would be cut off or refused.
+// Upstreams leave or warm up, or their node is suspected, while requests keep
+// arriving. A request sent there would be cut off or refused.
 Test(routing, only_ready_upstreams_of_alive_members_get_work) {
   std::vector<Member> members = MakeMembers(5);
   members[0].upstream.state = UpstreamState::kLeaving;
@@ -95,8 +95,8 @@
   cr_assert(Choose(table, kStart, rng, {"node-4"}) == "no-upstream");
 }
 
-// A hop to another VM costs time; the own upstream has room. Once it is full,
-// the others share the rest.
+// The own upstream gets requests while it has a free slot, since a hop to
+// another VM costs time. Once it is full, the others share the rest.
 Test(routing, own_upstream_first_while_it_has_a_free_slot) {
   UpstreamTable table = MakeTable(MakeMembers(4), "node-2");
   Rng rng(1);
@@ -110,7 +110,7 @@
 }
 
 // One node of four is loaded by callers that this node does not see. Without
-// the load that answers carry back it would get as much as the idle ones.
+// the load that responses report it would get as much as the idle ones.
 Test(routing, reported_load_diverts_requests) {
   UpstreamTable table = MakeTable(MakeMembers(4));
   Rng rng(1);
@@ -120,17 +120,17 @@
   std::map<std::string, int> chosen;
   for (int i = 0; i < 400; ++i)
     ++chosen[Choose(table, kStart, rng)];
-  // Only when both draws hit it: one in sixteen.
+  // It is chosen only if both draws hit it: one in sixteen.
   cr_assert(chosen["node-1"] < 60);
   const TimePoint later = kStart + Seconds(30);
   chosen.clear();
   for (int i = 0; i < 400; ++i)
     ++chosen[Choose(table, later, rng)];
-  cr_assert(chosen["node-1"] > 30, "old load must fade");
+  cr_assert(chosen["node-1"] > 30, "old load must decay");
 }
 
-// A cold upstream joins under load. Sent its full share at once it would time
-// out on its first requests.
+// A cold upstream joins under load. With its full share at once, its first
+// requests would time out.
 Test(routing, a_cold_upstream_gets_a_growing_share) {
   std::vector<Member> members = MakeMembers(4);
   members[0].upstream.ready_since = kStart;
@@ -148,9 +148,9 @@
   cr_assert(warm["node-0"] > 200);
 }
 
-// An upstream fails every request at once, so it always looks idle. Without
-// ejection it would draw in most requests; with it, a handful are lost, and
-// one more each time its rest ends.
+// An upstream fails every request at once, so it always seems idle. Without
+// ejection it would attract most requests; with it, a handful are lost, and
+// one more each time an ejection ends.
 Test(routing, a_failing_upstream_is_ejected_and_retried_on_return) {
   UpstreamTable table = MakeTable(MakeMembers(4));
   Rng rng(1);
@@ -167,12 +167,12 @@
   std::map<std::string, int> chosen;
   for (int i = 0; i < 200; ++i)
     ++chosen[Choose(table, back + Seconds(5), rng)];
-  cr_assert(chosen["node-3"] > 0, "a good answer ends the trial");
+  cr_assert(chosen["node-3"] > 0, "a success restores the failure limit");
 }
 
 // One upstream fails every third request, never five in a row, and another is
-// six times slower than the rest. Neither is ejected; without weights each gets
-// its full share, and a third of it is lost or late.
+// six times slower than the rest. Neither is ejected; without weights each
+// would get its full share, and a third of it would be lost or late.
 Test(routing, failures_and_latency_divert_requests) {
   UpstreamTable table = MakeTable(MakeMembers(9));
   for (int i = 0; i < 90; ++i) {
@@ -199,7 +199,7 @@
 }
 
 // A shared store is down and every upstream fails. If all were ejected, even
-// the requests that need no store would be refused.
+// requests that do not need the store would be refused.
 Test(routing, no_more_than_the_allowed_share_is_ejected) {
   UpstreamTable table = MakeTable(MakeMembers(9));
   Rng rng(1);
@@ -212,8 +212,8 @@
             static_cast<int>(chosen.size()));
 }
 
-// Members are updated many times a second. If each update forgot what is in
-// flight, a full upstream would look idle.
+// Members are updated many times a second. If an update dropped the count of
+// requests in flight, a full upstream would seem idle.
 Test(routing, an_update_keeps_known_state) {
   UpstreamTable table = MakeTable(MakeMembers(4));
   Fail(table, "node-3", 5, kStart);
@@ -223,7 +223,7 @@
   UpdateTargets(table, MakeSnapshot(), members, "", "bole");
   const auto& targets = table.services["registry-desk"]["v1"].targets;
   cr_assert(targets[1].in_flight == 1);
-  cr_assert(!IsEjected(targets[3], kStart), "a restarted one starts anew");
+  cr_assert(!IsEjected(targets[3], kStart), "a restart ends the ejection");
 }
 
 }  // namespace
--- a/tests/unit/shortage_test.cc
+++ b/tests/unit/shortage_test.cc
@@ -37,8 +37,8 @@
   cr_assert(ShortageReportsOf(table, kStart).empty());
 }
 
-// Half of the urgent requests to a service find no room there. Requests that
-// call it while they run are turned away in proportion; others are not.
+// Half of the urgent requests to a service are refused for lack of capacity.
+// Requests that call it while they run are shed in proportion; others are not.
 Test(shortage, callers_of_a_full_service_are_shed) {
   ShortageTable table;
   RecordCall(table, kView, kWorks);
@@ -49,8 +49,7 @@
       FractionToShed(table, "budget-approve", Priority::kNormal, kStart) == 0);
 }
 
-// Requests that are more urgent than those refused go on: they are not the ones
-// to give way.
+// Requests that are more urgent than the refused ones must not be shed.
 Test(shortage, more_urgent_callers_are_not_shed) {
   ShortageTable table;
   RecordCall(table, kView, kWorks);
@@ -58,7 +57,7 @@
   cr_assert(FractionToShed(table, kView, Priority::kInternal, kStart) == 0);
 }
 
-// What other nodes saw counts too, until their link is lost.
+// Refusals that other nodes report count too, until the link to them is lost.
 Test(shortage, refusals_at_other_nodes_count) {
   ShortageTable here;
   ShortageTable there;
@@ -78,7 +77,7 @@
   cr_assert(ShedFraction(table, kStart + std::chrono::seconds(4)) == 0);
 }
 
-// One refusal among a few requests is chance.
+// A few requests are too small a sample for their refused fraction to count.
 Test(shortage, a_few_refusals_shed_nothing) {
   ShortageTable table;
   RecordCall(table, kView, kWorks);
@@ -86,10 +85,10 @@
   cr_assert(ShedFraction(table, kStart) == 0);
 }
 
-// Half of a service's upstreams are gone. Requests of another service call it
-// once each, and their calls take all the room that is left; the more urgent
-// requests that go there directly get none. A user sees every dashboard and no
-// forecast. With the rule both are served to a like part.
+// Half of a service's upstreams are lost. Requests of another service call it
+// once each, and their calls take all remaining slots; the more urgent requests
+// sent to it directly get none. Without shedding a user gets every dashboard
+// and no forecast; with it, similar fractions of both are served.
 struct ServedFractions {
   double views = 0;
   double forecasts = 0;
@@ -134,8 +133,8 @@
   cr_assert(after.views > 0.3, "%.2f", after.views);
 }
 
-// Configurations come and go, and each brings routes of its own. The rows of
-// those that are gone must not keep out new ones.
+// Each configuration has its own routes. Rows of removed routes must not take
+// the place of new ones.
 Test(shortage, calls_of_removed_routes_are_dropped) {
   ShortageTable table;
   for (int i = 0; i < 100; ++i)
--- a/tests/unit/time_spent_test.cc
+++ b/tests/unit/time_spent_test.cc
@@ -9,8 +9,8 @@
 
 using Ms = std::chrono::milliseconds;
 
-// Two thirds of the requests are first attempts, the others come back with what
-// is left of their 800 ms.
+// Two thirds of the requests are first attempts; the others are retries with
+// the rest of their 800 ms.
 DeadlineHistory MakeHistory() {
   DeadlineHistory history;
   Rng rng(3);
@@ -25,14 +25,14 @@
   cr_assert(TimeSpent(MakeHistory(), Ms(800)) == Duration{0});
 }
 
-// A caller was refused and comes back 250 ms later. Treated as a new one it is
-// let in to wait, and its answer comes late, in place of one that is in time.
+// A refused caller retries 250 ms later. Treated as a first attempt it would be
+// queued and answered late, in place of a request that could be in time.
 Test(time_spent, the_gap_below_the_usual_deadline_was_spent) {
   cr_assert(TimeSpent(MakeHistory(), Ms(550)) == Ms(250));
 }
 
-// Some callers are in more of a hurry than others. Theirs is no rest of a
-// longer deadline, however short.
+// Some callers use a shorter deadline. It must not be taken for the remaining
+// time of a longer one.
 Test(time_spent, several_deadlines_may_be_usual) {
   DeadlineHistory history = MakeHistory();
   for (int i = 0; i < 100; ++i)
@@ -48,7 +48,7 @@
   cr_assert(TimeSpent(history, Ms(500)) == Duration{0});
 }
 
-// Operators give callers of a route another deadline.
+// Operators change the deadline of a route's callers.
 Test(time_spent, a_new_usual_deadline_is_learnt) {
   DeadlineHistory history = MakeHistory();
   for (int i = 0; i < 3000; ++i)
--- a/tests/unit/upstream_lease_test.cc
+++ b/tests/unit/upstream_lease_test.cc
@@ -29,23 +29,23 @@
   cr_assert(StateOf(lease, kStart) == LeaseState::kNone);
 }
 
-// A node is restarted while its upstream leaves. It acknowledges the leave of a
-// process that it has never heard of, and then a heartbeat arrives that was
-// sent before. Taken for news of a new process it brings requests to an
-// upstream that was promised none, and that is about to end.
+// A node restarts while its upstream leaves. It acknowledges the leave of a
+// process that it does not know, and then a heartbeat sent earlier arrives. If
+// that counted as a new process, requests would go to an upstream whose leave
+// was acknowledged and that is about to end.
 Test(upstream_lease, a_leave_holds_before_the_first_heartbeat) {
   UpstreamLease lease;
   cr_assert_not(OnLeave(lease, "i-1", 5000, kStart));
   cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 5000, 21), kStart) ==
             HeartbeatResult::kAlreadyLeaving);
   cr_assert(StateOf(lease, kStart) == LeaseState::kNone);
-  // The next life under the name is another process.
+  // After a restart under the same name it is another process.
   cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 8000, 1),
                         kStart + Ms(10)) == HeartbeatResult::kAccepted);
   cr_assert(StateOf(lease, kStart + Ms(10)) == LeaseState::kReady);
 }
 
-// Leave calls may name the process only, not its birth.
+// Leave calls may give only the name of the process, not its start time.
 Test(upstream_lease, a_leave_without_start_time_holds_too) {
   UpstreamLease lease;
   cr_assert_not(OnLeave(lease, "i-1", 0, kStart));
@@ -55,8 +55,8 @@
                         kStart + Ms(4000)) == HeartbeatResult::kAccepted);
 }
 
-// The new process's first heartbeat was lost, so its second looks like that of
-// the one that left. It must not be shut out for good.
+// The first heartbeat of the new process was lost, so its second looks like one
+// of the process that left. The new process must not be rejected permanently.
 Test(upstream_lease, a_leave_expires_after_the_maximum_heartbeat_delay) {
   UpstreamLease lease;
   cr_assert_not(OnLeave(lease, "i-1", 0, kStart));
@@ -65,7 +65,7 @@
                         kStart + Ms(14000)) == HeartbeatResult::kAccepted);
 }
 
-// The same with an earlier process still on the books at the address.
+// The same while an earlier process at the address still holds the lease.
 Test(upstream_lease, a_leave_holds_while_an_earlier_process_is_held) {
   UpstreamLease lease;
   (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5000, 3), kStart);
@@ -83,8 +83,8 @@
   cr_assert(StateOf(lease, kStart + Ms(6000)) == LeaseState::kLost);
 }
 
-// Heartbeats of a busy upstream may be seconds late. Its answers show that it
-// lives, so nobody is refused meanwhile.
+// Heartbeats of a busy upstream may be seconds late. Its responses show that it
+// is alive, so no request is refused meanwhile.
 Test(upstream_lease, responses_renew_the_lease_too) {
   UpstreamLease lease;
   (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 1), kStart);
@@ -92,9 +92,9 @@
   cr_assert(StateOf(lease, kStart + Ms(9000)) == LeaseState::kReady);
 }
 
-// A heartbeat is held up by a cut of the network, its sender crashes, and a new
-// process registers at the address. When the old heartbeat arrives after all,
-// requests that name the old process would be refused by the new one.
+// A network cut delays a heartbeat, its sender crashes, and a new process
+// registers at the address. If the late heartbeat were accepted, requests would
+// name the old process and be refused by the new one.
 Test(upstream_lease, a_late_heartbeat_of_an_earlier_process_changes_nothing) {
   UpstreamLease lease;
   (void)OnHeartbeat(lease, MakeHeartbeat("i-2", 9000, 1), kStart);
@@ -103,8 +103,8 @@
   cr_assert_str_eq(lease.current->instance.c_str(), "i-2");
 }
 
-// A process starts again under the name that it had, and its count begins
-// anew. Taken for late ones, its heartbeats would never count again.
+// A process restarts under the same name, and its sequence starts again. If its
+// heartbeats counted as late ones, none would be accepted again.
 Test(upstream_lease, a_restart_under_the_same_name_is_accepted) {
   UpstreamLease lease;
   (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5000, 40), kStart);
@@ -113,8 +113,8 @@
   cr_assert(lease.current->sequence == 1);
 }
 
-// The same without a time of birth: after the address has refused connections
-// a lower number means a new process.
+// The same without a start time: after the address has refused a connection, a
+// lower number means a new process.
 Test(upstream_lease, a_restart_without_start_time_is_accepted_after_a_loss) {
   UpstreamLease lease;
   (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 0, 40), kStart);
@@ -125,7 +125,7 @@
             HeartbeatResult::kAccepted);
 }
 
-// The answer to a heartbeat is lost, and the upstream sends the same again.
+// The response to a heartbeat is lost, and the upstream sends it again.
 Test(upstream_lease, a_duplicate_heartbeat_is_accepted) {
   UpstreamLease lease;
   (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 3), kStart);
@@ -133,8 +133,8 @@
             HeartbeatResult::kAccepted);
 }
 
-// An upstream said that it leaves, and was told that this is known. A heartbeat
-// that overtook that one must not send it work again.
+// An upstream's announcement that it leaves was acknowledged. A heartbeat that
+// arrives out of order must not make it ready again.
 Test(upstream_lease, leaving_is_final_for_one_process) {
   UpstreamLease lease;
   UpstreamHeartbeat heartbeat = MakeHeartbeat("i-1", 5, 3);
@@ -158,8 +158,8 @@
   cr_assert(StateOf(lease, kStart) == LeaseState::kLeaving);
 }
 
-// Its port takes no connection: it has crashed. Requests go elsewhere until a
-// heartbeat shows that it is back.
+// The port refuses connections because the process has crashed. Requests go
+// elsewhere until a heartbeat shows that it has restarted.
 Test(upstream_lease, a_refused_connection_counts_until_the_next_heartbeat) {
   UpstreamLease lease;
   (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 3), kStart);
--- a/tests/unit/upstream_model_test.cc
+++ b/tests/unit/upstream_model_test.cc
@@ -21,8 +21,8 @@
   cr_assert(ReportedTimeOf(reported, "other") == Duration{0});
 }
 
-// A mean moves a little with every run. Told each time it would cost every node
-// a frame for each request of every other.
+// A mean changes a little with every run. If each change were reported, every
+// node would get a frame for each request of every other node.
 Test(upstream_model, small_changes_are_not_reported) {
   ServiceTimes measured;
   measured["read"].mean_us = 100'000;
@@ -36,8 +36,8 @@
   cr_assert(ReportedTimeOf(reported, "read") == Ms(125));
 }
 
-// Routes come and go with configurations; rows of those that are gone would
-// take the place of new ones.
+// Configurations add and remove routes. Rows of removed ones would take the
+// place of new ones.
 Test(upstream_model, removed_routes_are_not_reported) {
   ServiceTimes measured;
   measured["old"].mean_us = 100'000;
