--- a/include/teaselspread/admission.h
+++ b/include/teaselspread/admission.h
@@ -105,7 +105,8 @@
 // access to it.
 struct Gatekeeper {
   GatekeeperSettings settings;
-  // Declared before the queue, which must be unlinked first.
+  // Declared before the queues, which must be destroyed first, as they link
+  // these requests.
   std::unordered_map<std::uint64_t, std::unique_ptr<HeldRequest>> held;
   boost::intrusive::set<HeldRequest, boost::intrusive::compare<RunsBefore>>
       queue;
--- a/include/teaselspread/retry.h
+++ b/include/teaselspread/retry.h
@@ -30,15 +30,15 @@
 struct RetrySettings {
   // Long-term ratio of retries to first attempts.
   double retry_ratio = 0.1;
-  // Maximum number of saved tokens, the retries that a quiet node may send at
-  // once.
+  // Maximum number of tokens: the retries that a node may send at once after
+  // few were needed.
   double burst = 10;
   int max_attempts = 3;
 };
 
 // A token bucket that first attempts fill and retries empty. Under a lasting
-// fault, at most (1 + retry_ratio) requests are sent for each one received, so
-// retries cannot sustain an overload.
+// fault, the number of requests sent stays below (1 + retry_ratio) times those
+// received, so retries cannot sustain an overload.
 struct RetryBudget {
   RetrySettings settings;
   double tokens = 10;
--- a/include/teaselspread/routing.h
+++ b/include/teaselspread/routing.h
@@ -65,9 +65,9 @@
 // How responses affect the choice between two targets, apart from ejection.
 // Targets are compared with each other, so a common fault changes nothing.
 struct ChoiceSettings {
-  // Load is multiplied by (1 + failure_weight * ratio of failures).
+  // Load is multiplied by (1 + failure_weight * failure ratio).
   double failure_weight = 10;
-  // Load is multiplied by the response time relative to the other target's.
+  // Whether load is multiplied by the latency relative to the other target's.
   bool by_latency = true;
 };
 
--- a/src/admission/gatekeeper.cc
+++ b/src/admission/gatekeeper.cc
@@ -20,8 +20,8 @@
   return has_aim ? std::min(arrival.aim, arrival.deadline) : arrival.deadline;
 }
 
-// Retry-After covers the time to drain the queue, so that retries find room. It
-// has jitter, as callers that retry all at once would find none.
+// Retry-After covers the time to drain the queue, so that retries fit into it.
+// It has jitter, since callers that retry all at once would not fit.
 Refusal MakeRefusal(Gatekeeper& gate,
                     std::uint64_t id,
                     ErrorKind kind,
--- a/src/admission/shortage.cc
+++ b/src/admission/shortage.cc
@@ -7,7 +7,8 @@
 namespace teaselspread {
 namespace {
 
-// Maximum number of rows. Few routes make calls, so a longer report is invalid.
+// Maximum number of rows. Few routes make calls, so a longer report is taken to
+// be invalid.
 constexpr std::size_t kMaxCalls = 64;
 
 double DecayedCount(const ShortageSettings& settings,
--- a/src/routing/choose.cc
+++ b/src/routing/choose.cc
@@ -5,13 +5,13 @@
 namespace teaselspread {
 namespace {
 
-// Half-life of the load that a response reported: requests that other nodes
-// sent before have been served since.
+// Age at which the load that a response reported counts half, since requests
+// that other nodes sent before have been served meanwhile.
 constexpr Duration kLoadHalfLife = std::chrono::milliseconds(50);
 // Reported load older than this is ignored. A remnant, however small, would
 // make a target lose every comparison with an idle one that never reported any.
 constexpr Duration kMaxLoadAge = std::chrono::seconds(1);
-// Half-life of failure ratio and latency.
+// Age at which failure ratio and latency count half.
 constexpr Duration kResponseHalfLife = std::chrono::seconds(5);
 constexpr double kMinWeight = 0.1;
 // Maximum draws before a full scan. With the cap on ejections two thirds of a
@@ -41,7 +41,8 @@
   return load * (1 + failures) / (target.slots * WarmUpWeight(target, now));
 }
 
-// Latency of `target` relative to `other`; 1 unless both are known.
+// Latency of `target` relative to `other`, decaying towards 1 with its age; 1
+// unless both are known.
 double LatencyRatio(const ChoiceSettings& settings,
                     const Target& target,
                     const Target& other,
--- a/src/routing/placement.cc
+++ b/src/routing/placement.cc
@@ -24,11 +24,11 @@
                       const PlacedRequest& request) {
   if (distance != Distance::kOtherDataCenter)
     return 0;
-  const double size =
+  const double relative_size =
       request.mean_bytes > 0
           ? static_cast<double>(request.bytes) / request.mean_bytes
           : 1;
-  return settings.crossing_cost * std::sqrt(size);
+  return settings.crossing_cost * std::sqrt(relative_size);
 }
 
 // Probability that a response expected after `aim_fraction` of its aim comes
--- a/tests/unit/admission_test.cc
+++ b/tests/unit/admission_test.cc
@@ -138,7 +138,7 @@
 // Ten requests of 100 ms each are queued for one slot. One with 300 ms left
 // cannot meet its deadline; if it were queued, its caller would be refused too
 // late to try another node.
-Test(admission, what_cannot_make_its_deadline_is_refused_at_once) {
+Test(admission, a_request_that_cannot_meet_its_deadline_is_refused_at_once) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(100));
   Rng rng(1);
@@ -205,7 +205,7 @@
 
 // The node has to stop while requests run and wait. Queued requests are refused
 // at once and can be retried elsewhere; running ones are not interrupted.
-Test(admission, leaving_refuses_what_waits_and_keeps_what_runs) {
+Test(admission, leaving_refuses_queued_requests_and_keeps_running_ones) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(10));
   Rng rng(1);
@@ -258,7 +258,7 @@
 }
 
 // The upstream's announcement expires while requests wait for it.
-Test(admission, a_lost_upstream_refuses_what_waits) {
+Test(admission, a_lost_upstream_refuses_queued_requests) {
   Gatekeeper gate;
   SetUp(gate, 1, Ms(10));
   Rng rng(1);
--- a/tests/unit/overload_test.cc
+++ b/tests/unit/overload_test.cc
@@ -25,10 +25,10 @@
   }
 };
 
-// For a minute, one upstream is offered `overload_factor` times its capacity.
+// For a minute, one upstream receives `load_factor` times its capacity.
 // Responses have full value within the aim and none after the deadline.
 struct Load {
-  double overload_factor = 1;
+  double load_factor = 1;
   int slots = 12;
   double sigma = 0.3;
   Duration aim = Ms(400);
@@ -48,8 +48,8 @@
   gate.settings.waiting.late_part = load.late_part;
   gate.settings.waiting.wait_part = load.wait_part;
   Rng rng(seed);
-  std::exponential_distribution<> arrival_gap(load.overload_factor *
-                                              load.slots / kMeanMs);
+  std::exponential_distribution<> arrival_gap(load.load_factor * load.slots /
+                                              kMeanMs);
   std::lognormal_distribution<> work(
       std::log(kMeanMs) - load.sigma * load.sigma / 2, load.sigma);
   std::map<std::uint64_t, TimePoint> arrival_times;
@@ -103,11 +103,10 @@
 // deadlines allow makes nearly every response late and so of little value; a
 // queue as long as the aim allows has the same throughput, with responses in
 // time.
-Test(overload, a_short_queue_keeps_answers_in_time) {
+Test(overload, a_short_queue_keeps_responses_in_time) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    const Tally long_queue =
-        Replay({.overload_factor = 1.5, .late_part = 1}, seed);
-    const Tally short_queue = Replay({.overload_factor = 1.5}, seed);
+    const Tally long_queue = Replay({.load_factor = 1.5, .late_part = 1}, seed);
+    const Tally short_queue = Replay({.load_factor = 1.5}, seed);
     cr_assert(short_queue.MeanValue() > 1.8 * long_queue.MeanValue(),
               "%.2f against %.2f", short_queue.MeanValue(),
               long_queue.MeanValue());
@@ -121,7 +120,7 @@
 // responses are just too late.
 Test(overload, overtaken_requests_are_still_answered_in_time) {
   Load load;
-  load.overload_factor = 1.35;
+  load.load_factor = 1.35;
   load.slots = 14;
   load.sigma = 0.5;
   load.aim = Ms(300);
@@ -139,11 +138,10 @@
 }
 
 // Below the upstream's capacity a short queue must refuse nothing.
-Test(overload, a_short_queue_costs_nothing_at_usual_load) {
+Test(overload, a_short_queue_refuses_nothing_at_normal_load) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const Tally tally = Replay(
-        {.overload_factor = 0.8, .wait_part = WaitingSettings{}.wait_part},
-        seed);
+        {.load_factor = 0.8, .wait_part = WaitingSettings{}.wait_part}, seed);
     cr_assert(tally.MeanValue() > 0.99, "%.3f", tally.MeanValue());
   }
 }
--- a/tests/unit/shortage_test.cc
+++ b/tests/unit/shortage_test.cc
@@ -29,7 +29,7 @@
   return FractionToShed(table, kView, Priority::kBackground, now);
 }
 
-Test(shortage, nothing_is_shed_while_there_is_room) {
+Test(shortage, nothing_is_shed_while_there_is_capacity) {
   ShortageTable table;
   RecordCall(table, kView, kWorks);
   RecordRequests(table, 0, 50, kStart);
