--- a/include/teaselspread/edge.h
+++ b/include/teaselspread/edge.h
@@ -108,7 +108,7 @@
   std::int64_t born_ms = 0;
 };
 
-using UpstreamCall = std::variant<UpstreamReport, LeaveCall>;
+using UpstreamCall = std::variant<UpstreamHeartbeat, LeaveCall>;
 
 // Names of the HTTP headers that the node reads and sets.
 struct EdgeHeaderNames {
--- a/src/edge/edge_node.h
+++ b/src/edge/edge_node.h
@@ -64,7 +64,7 @@
   TimePoint stop_began;
   TimePoint started;
   std::int64_t settings_modified_ns = 0;
-  CounterTable<ReportVerdict> heartbeats;
+  CounterTable<HeartbeatResult> heartbeats;
   Rng rng;
 };
 
--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -70,7 +70,7 @@
   std::set<std::string_view> routes;
   for (const RouteConfig& route : this->snapshot->routes)
     routes.insert(route.name);
-  KeepRoutes(this->shortage, routes);
+  RetainRoutes(this->shortage, routes);
   this->gate.KeepRoutes(routes);
   std::erase_if(this->deadline_histories, [&routes](const auto& row) {
     return !routes.contains(row.first);
@@ -108,7 +108,7 @@
     std::vector<std::uint32_t> weights;
     for (const WeightedService& part : route->split)
       weights.push_back(part.weight);
-    const std::size_t turn = NextTurn(this->turns[route->name], weights);
+    const std::size_t turn = NextIndex(this->turns[route->name], weights);
     pending.service = route->split[turn].service;
   }
   this->SetTimes(pending);
@@ -153,8 +153,9 @@
 bool Entry::ShedForDependency(std::uint64_t id, PendingRequest& pending) {
   if (pending.nested)
     return false;
-  const double shed_ratio = ShareToShed(this->shortage, pending.route->name,
-                                        pending.route->priority, SteadyNow());
+  const double shed_ratio =
+      FractionToShed(this->shortage, pending.route->name,
+                     pending.route->priority, SteadyNow());
   std::uniform_real_distribution<double> draw(0, 1);
   if (shed_ratio <= 0 || draw(this->rng) >= shed_ratio)
     return false;
@@ -170,7 +171,7 @@
   // it, with a margin for bursts that span two measurement windows.
   constexpr double kMargin = 0.7;
   const double nodes = static_cast<double>(this->links.Peers().size()) + 1;
-  budget.settings.share = this->settings.retry_share * kMargin;
+  budget.settings.retry_ratio = this->settings.retry_share * kMargin;
   budget.settings.burst =
       std::max(1.0, this->settings.retry_slack * kMargin / nodes);
   if (added)
@@ -190,11 +191,11 @@
     candidate.distance = distance;
     candidate.slots = std::max<std::uint32_t>(status.slots, 1);
     candidate.load = load;
-    candidate.run_time = TimeOf(status.times, pending.route->name);
-    candidate.mean_time = std::chrono::milliseconds(status.mean_ms);
+    candidate.run_time = ReportedTimeOf(status.times, pending.route->name);
+    candidate.mean_run_time = std::chrono::milliseconds(status.mean_ms);
     candidate.waiting = status.waiting;
-    candidate.queued = std::chrono::milliseconds(status.queued_ms);
-    candidate.failure_share = this->FailureRatio(std::string(node), now);
+    candidate.queued_time = std::chrono::milliseconds(status.queued_ms);
+    candidate.failure_ratio = this->FailureRatio(std::string(node), now);
     candidates.push_back(candidate);
   };
   // Whether the node may be added; clears candidates of a worse rank.
@@ -263,12 +264,12 @@
     this->mean_transfer_bytes = bytes;
   this->mean_transfer_bytes +=
       kNewestSizeWeight * (bytes - this->mean_transfer_bytes);
-  placed.usual_bytes = this->mean_transfer_bytes;
+  placed.mean_bytes = this->mean_transfer_bytes;
   const TimePoint now = SteadyNow();
   const std::optional<TimePoint> aim = AimOf(pending);
   const TimePoint due = aim && *aim > now ? *aim : pending.deadline;
   placed.aim = std::max(due - now, kMinAttemptTime);
-  placed.goes_first = pending.nested;
+  placed.skips_queue = pending.nested;
   return placed;
 }
 
@@ -452,9 +453,9 @@
   // Picks a version anew, so that most retries go where most requests go: while
   // a move runs, the failure may be the new version's fault.
   pending.picked = this->versions.Pick(pending.service);
-  failed.other_upstream = !this->CandidatesFor(pending).empty();
+  failed.has_other_upstream = !this->CandidatesFor(pending).empty();
   failed.deadline = pending.deadline;
-  failed.attempt_time = kMinAttemptTime;
+  failed.min_attempt_time = kMinAttemptTime;
   RetryBudget& budget = this->BudgetOf(pending.service);
   const RetryReason reason = DecideRetry(budget, failed, SteadyNow());
   this->counters.retries.Add(reason);
--- a/src/edge/entry.h
+++ b/src/edge/entry.h
@@ -201,7 +201,7 @@
   SnapshotPtr snapshot;
   std::unordered_map<std::uint64_t, PendingRequest> pending_requests;
   std::uint64_t next_id = 1;
-  std::map<std::string, WeightedTurns> turns;
+  std::map<std::string, WeightedRoundRobin> turns;
   std::map<std::string, DeadlineHistory> deadline_histories;
   // Moving average of the response body's bytes, by route.
   std::map<std::string, double> mean_response_bytes;
--- a/src/edge/entry_answers.cc
+++ b/src/edge/entry_answers.cc
@@ -73,7 +73,7 @@
     kind = ErrorKind::kOutcomeUnknown;
   if (kind == ErrorKind::kPeerUnreachable && pending.may_have_run)
     kind = ErrorKind::kOutcomeUnknown;
-  const Duration spread = SpreadRetryAfter(retry_after, this->rng);
+  const Duration spread = JitteredRetryAfter(retry_after, this->rng);
   HttpResponse response = MakeErrorResponse(kind, spread);
   const HttpRequest& request = pending.exchange->request;
   SetHeader(response.headers, kHeaderRequestId,
@@ -101,7 +101,7 @@
   const std::string_view request_id =
       FindHeader(request.headers, kHeaderRequestId);
   HttpResponse response =
-      MakeErrorResponse(kind, SpreadRetryAfter(kEntryRetryAfter, this->rng));
+      MakeErrorResponse(kind, JitteredRetryAfter(kEntryRetryAfter, this->rng));
   if (!request_id.empty())
     SetHeader(response.headers, kHeaderRequestId, request_id);
   Log(LogLevel::kInfo, "requests", "refused",
--- a/src/edge/gate.cc
+++ b/src/edge/gate.cc
@@ -96,7 +96,7 @@
   this->lease.settings = lease_settings;
   this->gatekeeper.settings.retry_after = kMinRetryAfter;
   this->gatekeeper.ready = false;
-  this->suspects.settings.most_crashes = kMaxCrashes;
+  this->suspects.settings.crash_limit = kMaxCrashes;
 }
 
 void Gate::Run(std::uint64_t id, RunFrame frame, ResultHandler done) {
@@ -133,7 +133,8 @@
     this->Refuse(id, {id, ErrorKind::kCrashSuspect, kMinRetryAfter});
     return;
   }
-  const Arrived arrived = Arrive(this->gatekeeper, arrival, now, this->rng);
+  const ArrivalResult arrived =
+      Arrive(this->gatekeeper, arrival, now, this->rng);
   if (arrived.evicted)
     this->Refuse(arrived.evicted->id, *arrived.evicted);
   if (arrived.refusal) {
@@ -206,7 +207,7 @@
     if (wrong_process) {
       this->MarkUpstreamLost("another-process-answered");
     } else {
-      OnUpstreamAnswer(this->lease, now);
+      OnUpstreamResponse(this->lease, now);
     }
     if (wrong_process || (says_not_run && status != kHttpBadRequest)) {
       frame.answered = false;
@@ -285,7 +286,7 @@
     return;
   GateRun& run = found->second;
   if (run.started == TimePoint{}) {
-    Withdraw(this->gatekeeper, id);
+    CancelWaiting(this->gatekeeper, id);
     this->runs.erase(found);
     return;
   }
@@ -333,15 +334,15 @@
        {"slots", knows_slots ? slots : 0}});
   if (response.status != kOk || instance.empty() || !knows_slots || slots < 1)
     return;
-  UpstreamReport report;
+  UpstreamHeartbeat report;
   report.instance = std::string(instance);
   report.service = service;
   report.slots = slots;
   (void)this->OnHeartbeat(report);
 }
 
-ReportVerdict Gate::OnHeartbeat(const UpstreamReport& report) {
-  const ReportVerdict verdict = TakeReport(this->lease, report, SteadyNow());
+HeartbeatResult Gate::OnHeartbeat(const UpstreamHeartbeat& report) {
+  const HeartbeatResult verdict = OnHeartbeat(this->lease, report, SteadyNow());
   this->ApplyLease();
   this->on_status_change();
   return verdict;
@@ -349,7 +350,7 @@
 
 bool Gate::OnUpstreamLeaving(const LeaveCall& call) {
   const bool known =
-      TakeLeave(this->lease, call.instance, call.born_ms, SteadyNow());
+      OnLeave(this->lease, call.instance, call.born_ms, SteadyNow());
   this->ApplyLease();
   this->on_status_change();
   return known;
@@ -446,16 +447,16 @@
 }
 
 void Gate::RefreshReportedTimes() {
-  RefreshTold(this->reported_times, this->gatekeeper.service_times);
+  UpdateReportedTimes(this->reported_times, this->gatekeeper.service_times);
   std::vector<RouteTime> all;
   if (this->reported_mean_ms > 0)
     all.push_back({"", this->reported_mean_ms});
-  RefreshTold(all, {{"", this->gatekeeper.all_routes}});
+  UpdateReportedTimes(all, {{"", this->gatekeeper.overall_service_time}});
   this->reported_mean_ms = all.front().mean_ms;
 }
 
 void Gate::Tick() {
-  if (this->gatekeeper.all_routes.mean_us > 0)
+  if (this->gatekeeper.overall_service_time.mean_us > 0)
     this->RefreshReportedTimes();
   ExpireSuspects(this->suspects, SteadyNow());
   this->ApplyLease();
@@ -482,7 +483,7 @@
        {"instance", this->lease.current ? this->lease.current->instance : ""},
        {"version", version},
        {"sequence", this->lease.current ? this->lease.current->sequence : 0},
-       {"age_ms", MillisOf(now - this->lease.renewed)}});
+       {"age_ms", MillisOf(now - this->lease.renewed_at)}});
   this->applied_state = state;
   this->applied_version = version;
   this->Apply(SetUpstream(this->gatekeeper, slots, ready, now, this->rng));
--- a/src/edge/gate.h
+++ b/src/edge/gate.h
@@ -75,7 +75,7 @@
   void Probe(const std::string& health_path, const std::string& service);
 
   // Receives a heartbeat; it has taken effect when this returns.
-  [[nodiscard]] ReportVerdict OnHeartbeat(const UpstreamReport& report);
+  [[nodiscard]] HeartbeatResult OnHeartbeat(const UpstreamHeartbeat& report);
   // False when the process does not hold the lease.
   bool OnUpstreamLeaving(const LeaveCall& call);
 
@@ -107,7 +107,7 @@
 
   // Drops the measurements of routes that are not in `routes`.
   void KeepRoutes(const std::set<std::string_view>& routes) {
-    KeepTimesOf(this->gatekeeper, routes);
+    RetainServiceTimes(this->gatekeeper, routes);
   }
 
   [[nodiscard]] GateStatus Status() const;
--- a/src/routing/choose.cc
+++ b/src/routing/choose.cc
@@ -5,49 +5,53 @@
 namespace teaselspread {
 namespace {
 
-// Load that an answer carried back halves in this time: what others sent a
-// while ago has been served since.
+// Age at which the load that a response reported counts half, since requests
+// that other nodes sent before have been served meanwhile.
 constexpr Duration kLoadHalfLife = std::chrono::milliseconds(50);
-// Older than this it says nothing. A remnant of it, however small, would make
-// a target lose every comparison with an idle one that was never heard of.
-constexpr Duration kLoadForgotten = std::chrono::seconds(1);
-// What answers said of failures and time halves in this time.
-constexpr Duration kAnswersHalfLife = std::chrono::seconds(5);
-constexpr double kLeastWeight = 0.1;
-// Draws before a full scan. With the cap on ejections two thirds of a group
-// are in, so that eight draws all miss once in 6,561.
-constexpr int kDraws = 8;
-
-double Fade(Duration age, Duration half_life) {
+// Reported load older than this is ignored. A remnant, however small, would
+// make a target lose every comparison with an idle one that never reported any.
+constexpr Duration kMaxLoadAge = std::chrono::seconds(1);
+// Age at which failure ratio and latency count half.
+constexpr Duration kResponseHalfLife = std::chrono::seconds(5);
+constexpr double kMinWeight = 0.1;
+// Maximum draws before a full scan. With the cap on ejections two thirds of a
+// group are usable, so eight draws all miss once in 6,561 times.
+constexpr int kMaxDraws = 8;
+
+double Decay(Duration age, Duration half_life) {
   const auto half = static_cast<double>(half_life.count());
   return half / (half + std::max(0.0, static_cast<double>(age.count())));
 }
 
-double OthersLoad(const Target& target, TimePoint now) {
-  if (now - target.load_seen > kLoadForgotten)
+double OtherNodesLoad(const Target& target, TimePoint now) {
+  if (now - target.load_reported_at > kMaxLoadAge)
     return 0;
-  return target.others_load * Fade(now - target.load_seen, kLoadHalfLife);
+  return target.other_nodes_load *
+         Decay(now - target.load_reported_at, kLoadHalfLife);
 }
 
 double Score(const ChoiceSettings& settings,
              const Target& target,
              TimePoint now) {
-  const double load = target.in_flight + OthersLoad(target, now) + 1;
-  const double failures = target.failure_share *
-                          Fade(now - target.answered, kAnswersHalfLife) *
-                          settings.failure_weight;
+  const double load = target.in_flight + OtherNodesLoad(target, now) + 1;
+  const double failures =
+      target.failure_ratio *
+      Decay(now - target.last_response_at, kResponseHalfLife) *
+      settings.failure_weight;
   return load * (1 + failures) / (target.slots * WarmUpWeight(target, now));
 }
 
-// How many times slower `target` is than `other`; 1 if not known of both.
-double SlownessAgainst(const ChoiceSettings& settings,
-                       const Target& target,
-                       const Target& other,
-                       TimePoint now) {
+// Latency of `target` relative to `other`, decaying towards 1 with its age; 1
+// unless both are known.
+double LatencyRatio(const ChoiceSettings& settings,
+                    const Target& target,
+                    const Target& other,
+                    TimePoint now) {
   if (!settings.by_latency || target.latency_us == 0 || other.latency_us == 0)
     return 1;
   const double ratio = target.latency_us / other.latency_us;
-  return 1 + (ratio - 1) * Fade(now - target.answered, kAnswersHalfLife);
+  return 1 +
+         (ratio - 1) * Decay(now - target.last_response_at, kResponseHalfLife);
 }
 
 bool IsBetter(const ChoiceSettings& settings,
@@ -55,7 +59,7 @@
               const Target& other,
               TimePoint now) {
   return Score(settings, target, now) *
-             SlownessAgainst(settings, target, other, now) <
+             LatencyRatio(settings, target, other, now) <
          Score(settings, other, now);
 }
 
@@ -68,19 +72,19 @@
          excluded.end();
 }
 
-// While it warms up the own upstream has fewer slots to offer, too.
+// While it warms up, the own upstream counts with fewer slots, too.
 bool OwnHasFreeSlot(const UpstreamTable& table,
                     const Target& own,
                     TimePoint now) {
   return table.own_load < own.slots * WarmUpWeight(own, now);
 }
 
-const Target* Draw(const ChoiceSettings& settings,
-                   const TargetGroup& group,
-                   std::span<const std::string> excluded,
-                   TimePoint now,
-                   Rng& rng) {
-  for (int i = 0; i < kDraws; ++i) {
+const Target* DrawTarget(const ChoiceSettings& settings,
+                         const TargetGroup& group,
+                         std::span<const std::string> excluded,
+                         TimePoint now,
+                         Rng& rng) {
+  for (int i = 0; i < kMaxDraws; ++i) {
     const Target& target = group.targets[rng() % group.targets.size()];
     if (IsUsable(target, excluded, now))
       return &target;
@@ -111,8 +115,8 @@
   if (target.warm_up <= Duration{})
     return 1.0;
   const auto age = static_cast<double>((now - target.ready_since).count());
-  const double share = age / static_cast<double>(target.warm_up.count());
-  return std::clamp(share, kLeastWeight, 1.0);
+  const double fraction = age / static_cast<double>(target.warm_up.count());
+  return std::clamp(fraction, kMinWeight, 1.0);
 }
 
 Result<const Target*> ChooseUpstream(const UpstreamTable& table,
@@ -124,15 +128,16 @@
   const TargetGroup* group = FindGroup(table, service, version);
   if (group == nullptr || group->targets.empty())
     return Fail(ErrorKind::kNoUpstream, "no ready upstream of this version");
-  if (group->own >= 0) {
-    const Target& own = group->targets[static_cast<std::size_t>(group->own)];
+  if (group->own_index >= 0) {
+    const Target& own =
+        group->targets[static_cast<std::size_t>(group->own_index)];
     if (IsUsable(own, excluded, now) && OwnHasFreeSlot(table, own, now))
       return &own;
   }
-  const Target* first = Draw(table.choice, *group, excluded, now, rng);
+  const Target* first = DrawTarget(table.choice, *group, excluded, now, rng);
   if (first == nullptr)
     return Fail(ErrorKind::kNoUpstream, "every upstream was tried or is out");
-  const Target* second = Draw(table.choice, *group, excluded, now, rng);
+  const Target* second = DrawTarget(table.choice, *group, excluded, now, rng);
   return IsBetter(table.choice, *second, *first, now) ? second : first;
 }
 
--- a/tests/unit/routing_test.cc
+++ b/tests/unit/routing_test.cc
@@ -60,13 +60,13 @@
 
 void Fail(UpstreamTable& table, const std::string& id, int times, TimePoint t) {
   for (int i = 0; i < times; ++i) {
-    OnSent(table, "registry-desk", "v1", id);
-    OnAnswer(table, "registry-desk", "v1", id, AnswerKind::kFailed, -1, t);
+    OnRequestSent(table, "registry-desk", "v1", id);
+    OnResponse(table, "registry-desk", "v1", id, ResponseKind::kFailed, -1, t);
   }
 }
 
-// Two routes share the start of their paths. A clerk who asks for the archive
-// must not land on the live bundles.
+// Two routes share the start of their paths. A request for the archive must not
+// match the route of the live bundles.
 Test(routing, a_prefix_ends_at_a_segment) {
   Snapshot snapshot;
   RouteConfig bundles;
@@ -80,8 +80,8 @@
   cr_assert(MatchRoute(snapshot, "POST", "/bundles/7") == nullptr);
 }
 
-// An upstream leaves, warms up, or its node is suspected, while requests keep
-// coming. A request sent there would be cut off or refused.
+// Upstreams leave or warm up, or their node is suspected, while requests keep
+// arriving. A request sent there would be cut off or refused.
 Test(routing, only_ready_upstreams_of_alive_members_get_work) {
   std::vector<Member> members = MakeMembers(5);
   members[0].upstream.state = UpstreamState::kLeaving;
@@ -95,8 +95,8 @@
   cr_assert(Choose(table, kStart, rng, {"node-4"}) == "no-upstream");
 }
 
-// A hop to another VM costs time; the own upstream has room. Once it is full,
-// the others share the rest.
+// The own upstream gets requests while it has a free slot, since a hop to
+// another VM costs time. Once it is full, the others share the rest.
 Test(routing, own_upstream_first_while_it_has_a_free_slot) {
   UpstreamTable table = MakeTable(MakeMembers(4), "node-2");
   Rng rng(1);
@@ -110,27 +110,27 @@
 }
 
 // One node of four is loaded by callers that this node does not see. Without
-// the load that answers carry back it would get as much as the idle ones.
-Test(routing, load_that_answers_carry_back_turns_requests_away) {
+// the load that responses report it would get as much as the idle ones.
+Test(routing, reported_load_diverts_requests) {
   UpstreamTable table = MakeTable(MakeMembers(4));
   Rng rng(1);
-  OnSent(table, "registry-desk", "v1", "node-1");
-  OnAnswer(table, "registry-desk", "v1", "node-1", AnswerKind::kGood, 30,
-           kStart);
+  OnRequestSent(table, "registry-desk", "v1", "node-1");
+  OnResponse(table, "registry-desk", "v1", "node-1", ResponseKind::kSucceeded,
+             30, kStart);
   std::map<std::string, int> chosen;
   for (int i = 0; i < 400; ++i)
     ++chosen[Choose(table, kStart, rng)];
-  // Only when both draws hit it: one in sixteen.
+  // It is chosen only if both draws hit it: one in sixteen.
   cr_assert(chosen["node-1"] < 60);
   const TimePoint later = kStart + Seconds(30);
   chosen.clear();
   for (int i = 0; i < 400; ++i)
     ++chosen[Choose(table, later, rng)];
-  cr_assert(chosen["node-1"] > 30, "old load must fade");
+  cr_assert(chosen["node-1"] > 30, "old load must decay");
 }
 
-// A cold upstream joins under load. Sent its full share at once it would time
-// out on its first requests.
+// A cold upstream joins under load. With its full share at once, its first
+// requests would time out.
 Test(routing, a_cold_upstream_gets_a_growing_share) {
   std::vector<Member> members = MakeMembers(4);
   members[0].upstream.ready_since = kStart;
@@ -148,10 +148,10 @@
   cr_assert(warm["node-0"] > 200);
 }
 
-// An upstream fails every request at once, so it always looks idle. Without
-// ejection it would draw in most requests; with it, a handful are lost, and
-// one more each time its rest ends.
-Test(routing, a_failing_upstream_is_out_and_returns_on_trial) {
+// An upstream fails every request at once, so it always seems idle. Without
+// ejection it would attract most requests; with it, a handful are lost, and
+// one more each time an ejection ends.
+Test(routing, a_failing_upstream_is_ejected_and_retried_on_return) {
   UpstreamTable table = MakeTable(MakeMembers(4));
   Rng rng(1);
   Fail(table, "node-3", 5, kStart);
@@ -161,28 +161,28 @@
   Fail(table, "node-3", 1, back);
   for (int i = 0; i < 200; ++i)
     cr_assert(Choose(table, back + Seconds(3), rng) != "node-3");
-  OnAnswer(table, "registry-desk", "v1", "node-3", AnswerKind::kGood, -1,
-           back + Seconds(5));
+  OnResponse(table, "registry-desk", "v1", "node-3", ResponseKind::kSucceeded,
+             -1, back + Seconds(5));
   Fail(table, "node-3", 4, back + Seconds(5));
   std::map<std::string, int> chosen;
   for (int i = 0; i < 200; ++i)
     ++chosen[Choose(table, back + Seconds(5), rng)];
-  cr_assert(chosen["node-3"] > 0, "a good answer ends the trial");
+  cr_assert(chosen["node-3"] > 0, "a success restores the failure limit");
 }
 
 // One upstream fails every third request, never five in a row, and another is
-// six times slower than the rest. Neither is ejected; without weights each gets
-// its full share, and a third of it is lost or late.
-Test(routing, answers_that_fail_or_are_slow_turn_requests_away) {
+// six times slower than the rest. Neither is ejected; without weights each
+// would get its full share, and a third of it would be lost or late.
+Test(routing, failures_and_latency_divert_requests) {
   UpstreamTable table = MakeTable(MakeMembers(9));
   for (int i = 0; i < 90; ++i) {
     for (int node = 0; node < 9; ++node) {
       const std::string id = "node-" + std::to_string(node);
       const bool fails = node == 4 && i % 3 == 0;
-      OnSent(table, "registry-desk", "v1", id);
-      OnAnswer(table, "registry-desk", "v1", id,
-               fails ? AnswerKind::kFailed : AnswerKind::kGood, -1, kStart,
-               node == 7 ? Ms(300) : Ms(50));
+      OnRequestSent(table, "registry-desk", "v1", id);
+      OnResponse(table, "registry-desk", "v1", id,
+                 fails ? ResponseKind::kFailed : ResponseKind::kSucceeded, -1,
+                 kStart, node == 7 ? Ms(300) : Ms(50));
     }
   }
   Rng rng(1);
@@ -192,14 +192,14 @@
   cr_assert(chosen["node-4"] < 400);
   cr_assert(chosen["node-7"] < 400);
   const TimePoint later = kStart + Seconds(300);
-  OnSent(table, "registry-desk", "v1", "node-0");
+  OnRequestSent(table, "registry-desk", "v1", "node-0");
   for (int i = 0; i < 9000; ++i)
     ++chosen[Choose(table, later, rng)];
   cr_assert(chosen["node-0"] > 0 && chosen["node-4"] > 0, "tried again");
 }
 
 // A shared store is down and every upstream fails. If all were ejected, even
-// the requests that need no store would be refused.
+// requests that do not need the store would be refused.
 Test(routing, no_more_than_the_allowed_share_is_ejected) {
   UpstreamTable table = MakeTable(MakeMembers(9));
   Rng rng(1);
@@ -212,18 +212,18 @@
             static_cast<int>(chosen.size()));
 }
 
-// Members are updated many times a second. If each update forgot what is in
-// flight, a full upstream would look idle.
-Test(routing, an_update_keeps_what_is_known) {
+// Members are updated many times a second. If an update dropped the count of
+// requests in flight, a full upstream would seem idle.
+Test(routing, an_update_keeps_known_state) {
   UpstreamTable table = MakeTable(MakeMembers(4));
   Fail(table, "node-3", 5, kStart);
-  OnSent(table, "registry-desk", "v1", "node-1");
+  OnRequestSent(table, "registry-desk", "v1", "node-1");
   std::vector<Member> members = MakeMembers(5);
   members[3].upstream.ready_since += Seconds(1);
   UpdateTargets(table, MakeSnapshot(), members, "", "bole");
   const auto& targets = table.services["registry-desk"]["v1"].targets;
   cr_assert(targets[1].in_flight == 1);
-  cr_assert(!IsEjected(targets[3], kStart), "a restarted one starts anew");
+  cr_assert(!IsEjected(targets[3], kStart), "a restart ends the ejection");
 }
 
 }  // namespace
