--- a/include/teaselspread/upstream_lease.h
+++ b/include/teaselspread/upstream_lease.h
@@ -83,9 +83,9 @@
 
 // Processes one heartbeat. A late one of an earlier process at the same address
 // must not restore that process: its requests would reach another process.
-[[nodiscard]] HeartbeatResult OnHeartbeat(UpstreamLease& lease,
-                                          const UpstreamHeartbeat& heartbeat,
-                                          TimePoint now);
+[[nodiscard]] HeartbeatResult ApplyHeartbeat(UpstreamLease& lease,
+                                             const UpstreamHeartbeat& heartbeat,
+                                             TimePoint now);
 
 // Records that the process `instance` leaves, whether it is known or not.
 // `born_ms` of 0 matches any process of that name that holds the lease. Returns
--- a/src/edge/gate.cc
+++ b/src/edge/gate.cc
@@ -342,7 +342,8 @@
 }
 
 HeartbeatResult Gate::OnHeartbeat(const UpstreamHeartbeat& report) {
-  const HeartbeatResult verdict = OnHeartbeat(this->lease, report, SteadyNow());
+  const HeartbeatResult verdict =
+      ApplyHeartbeat(this->lease, report, SteadyNow());
   this->ApplyLease();
   this->on_status_change();
   return verdict;
--- a/src/upstream/upstream_lease.cc
+++ b/src/upstream/upstream_lease.cc
@@ -58,9 +58,9 @@
   return kStateNames.at(static_cast<std::size_t>(state));
 }
 
-HeartbeatResult OnHeartbeat(UpstreamLease& lease,
-                            const UpstreamHeartbeat& heartbeat,
-                            TimePoint now) {
+HeartbeatResult ApplyHeartbeat(UpstreamLease& lease,
+                               const UpstreamHeartbeat& heartbeat,
+                               TimePoint now) {
   if (!heartbeat.leaving && HasLeft(lease, heartbeat, now))
     return HeartbeatResult::kAlreadyLeaving;
   if (lease.current) {
--- a/tests/unit/clock_test.cc
+++ b/tests/unit/clock_test.cc
@@ -30,7 +30,7 @@
   report.instance = "i-1";
   report.sequence = 1;
   const TimePoint told = AnchoredTime(kAnchor, TimePoint(Ms(1000)));
-  (void)OnHeartbeat(lease, report, told);
+  (void)ApplyHeartbeat(lease, report, told);
   // 40 s forward on the wall, 2 s by the steady clock.
   const TimePoint later = AnchoredTime(kAnchor, TimePoint(Ms(3000)));
   cr_assert(StateOf(lease, later) == LeaseState::kReady);
--- a/tests/unit/upstream_lease_test.cc
+++ b/tests/unit/upstream_lease_test.cc
@@ -36,12 +36,12 @@
 Test(upstream_lease, a_leave_holds_before_the_first_heartbeat) {
   UpstreamLease lease;
   cr_assert_not(OnLeave(lease, "i-1", 5000, kStart));
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 5000, 21), kStart) ==
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5000, 21), kStart) ==
             HeartbeatResult::kAlreadyLeaving);
   cr_assert(StateOf(lease, kStart) == LeaseState::kNone);
   // After a restart under the same name it is another process.
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 8000, 1),
-                        kStart + Ms(10)) == HeartbeatResult::kAccepted);
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 8000, 1),
+                           kStart + Ms(10)) == HeartbeatResult::kAccepted);
   cr_assert(StateOf(lease, kStart + Ms(10)) == LeaseState::kReady);
 }
 
@@ -49,10 +49,11 @@
 Test(upstream_lease, a_leave_without_start_time_holds_too) {
   UpstreamLease lease;
   cr_assert_not(OnLeave(lease, "i-1", 0, kStart));
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 5000, 21),
-                        kStart + Ms(2000)) == HeartbeatResult::kAlreadyLeaving);
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 8000, 1),
-                        kStart + Ms(4000)) == HeartbeatResult::kAccepted);
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5000, 21),
+                           kStart + Ms(2000)) ==
+            HeartbeatResult::kAlreadyLeaving);
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 8000, 1),
+                           kStart + Ms(4000)) == HeartbeatResult::kAccepted);
 }
 
 // The first heartbeat of the new process was lost, so its second looks like one
@@ -60,24 +61,25 @@
 Test(upstream_lease, a_leave_expires_after_the_maximum_heartbeat_delay) {
   UpstreamLease lease;
   cr_assert_not(OnLeave(lease, "i-1", 0, kStart));
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 8000, 2), kStart + Ms(4000));
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 8000, 9),
-                        kStart + Ms(14000)) == HeartbeatResult::kAccepted);
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-1", 8000, 2), kStart + Ms(4000));
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 8000, 9),
+                           kStart + Ms(14000)) == HeartbeatResult::kAccepted);
 }
 
 // The same while an earlier process at the address still holds the lease.
 Test(upstream_lease, a_leave_holds_while_an_earlier_process_is_held) {
   UpstreamLease lease;
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5000, 3), kStart);
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5000, 3), kStart);
   cr_assert_not(OnLeave(lease, "i-2", 6000, kStart));
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-2", 6000, 1),
-                        kStart + Ms(10)) == HeartbeatResult::kAlreadyLeaving);
+  cr_assert(
+      ApplyHeartbeat(lease, MakeHeartbeat("i-2", 6000, 1), kStart + Ms(10)) ==
+      HeartbeatResult::kAlreadyLeaving);
   cr_assert_str_eq(lease.current->instance.c_str(), "i-1");
 }
 
 Test(upstream_lease, a_heartbeat_makes_it_ready_until_the_lease_expires) {
   UpstreamLease lease;
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 1), kStart) ==
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5, 1), kStart) ==
             HeartbeatResult::kAccepted);
   cr_assert(StateOf(lease, kStart + Ms(5900)) == LeaseState::kReady);
   cr_assert(StateOf(lease, kStart + Ms(6000)) == LeaseState::kLost);
@@ -87,7 +89,7 @@
 // is alive, so no request is refused meanwhile.
 Test(upstream_lease, responses_renew_the_lease_too) {
   UpstreamLease lease;
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 1), kStart);
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5, 1), kStart);
   OnUpstreamResponse(lease, kStart + Ms(5000));
   cr_assert(StateOf(lease, kStart + Ms(9000)) == LeaseState::kReady);
 }
@@ -97,9 +99,9 @@
 // name the old process and be refused by the new one.
 Test(upstream_lease, a_late_heartbeat_of_an_earlier_process_changes_nothing) {
   UpstreamLease lease;
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-2", 9000, 1), kStart);
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 5000, 77),
-                        kStart + Ms(10)) == HeartbeatResult::kStale);
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-2", 9000, 1), kStart);
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5000, 77),
+                           kStart + Ms(10)) == HeartbeatResult::kStale);
   cr_assert_str_eq(lease.current->instance.c_str(), "i-2");
 }
 
@@ -107,9 +109,9 @@
 // heartbeats counted as late ones, none would be accepted again.
 Test(upstream_lease, a_restart_under_the_same_name_is_accepted) {
   UpstreamLease lease;
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5000, 40), kStart);
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 8000, 1),
-                        kStart + Ms(10)) == HeartbeatResult::kAccepted);
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5000, 40), kStart);
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 8000, 1),
+                           kStart + Ms(10)) == HeartbeatResult::kAccepted);
   cr_assert(lease.current->sequence == 1);
 }
 
@@ -117,20 +119,20 @@
 // lower number means a new process.
 Test(upstream_lease, a_restart_without_start_time_is_accepted_after_a_loss) {
   UpstreamLease lease;
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 0, 40), kStart);
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 0, 1), kStart + Ms(10)) ==
-            HeartbeatResult::kStale);
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-1", 0, 40), kStart);
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 0, 1),
+                           kStart + Ms(10)) == HeartbeatResult::kStale);
   OnUpstreamUnreachable(lease);
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 0, 2), kStart + Ms(20)) ==
-            HeartbeatResult::kAccepted);
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 0, 2),
+                           kStart + Ms(20)) == HeartbeatResult::kAccepted);
 }
 
 // The response to a heartbeat is lost, and the upstream sends it again.
 Test(upstream_lease, a_duplicate_heartbeat_is_accepted) {
   UpstreamLease lease;
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 3), kStart);
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 3), kStart + Ms(900)) ==
-            HeartbeatResult::kAccepted);
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5, 3), kStart);
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5, 3),
+                           kStart + Ms(900)) == HeartbeatResult::kAccepted);
 }
 
 // An upstream's announcement that it leaves was acknowledged. A heartbeat that
@@ -139,18 +141,19 @@
   UpstreamLease lease;
   UpstreamHeartbeat heartbeat = MakeHeartbeat("i-1", 5, 3);
   heartbeat.leaving = true;
-  (void)OnHeartbeat(lease, heartbeat, kStart);
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 4), kStart + Ms(10)) ==
-            HeartbeatResult::kAlreadyLeaving);
+  (void)ApplyHeartbeat(lease, heartbeat, kStart);
+  cr_assert(
+      ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5, 4), kStart + Ms(10)) ==
+      HeartbeatResult::kAlreadyLeaving);
   cr_assert(StateOf(lease, kStart + Ms(10)) == LeaseState::kLeaving);
-  cr_assert(OnHeartbeat(lease, MakeHeartbeat("i-2", 6, 1), kStart + Ms(20)) ==
-            HeartbeatResult::kAccepted);
+  cr_assert(ApplyHeartbeat(lease, MakeHeartbeat("i-2", 6, 1),
+                           kStart + Ms(20)) == HeartbeatResult::kAccepted);
   cr_assert(StateOf(lease, kStart + Ms(20)) == LeaseState::kReady);
 }
 
 Test(upstream_lease, only_the_process_itself_can_leave) {
   UpstreamLease lease;
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 3), kStart);
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5, 3), kStart);
   cr_assert_not(OnLeave(lease, "i-0", 0, kStart));
   cr_assert_not(OnLeave(lease, "i-1", 4, kStart));
   cr_assert(StateOf(lease, kStart) == LeaseState::kReady);
@@ -162,10 +165,10 @@
 // elsewhere until a heartbeat shows that it has restarted.
 Test(upstream_lease, a_refused_connection_counts_until_the_next_heartbeat) {
   UpstreamLease lease;
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 5, 3), kStart);
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-1", 5, 3), kStart);
   OnUpstreamUnreachable(lease);
   cr_assert(StateOf(lease, kStart + Ms(1)) == LeaseState::kLost);
-  (void)OnHeartbeat(lease, MakeHeartbeat("i-1", 9, 1), kStart + Ms(2));
+  (void)ApplyHeartbeat(lease, MakeHeartbeat("i-1", 9, 1), kStart + Ms(2));
   cr_assert(StateOf(lease, kStart + Ms(2)) == LeaseState::kReady);
 }
 
