--- a/benchmark/capacity_moves.h
+++ b/benchmark/capacity_moves.h
@@ -58,9 +58,9 @@
   for (int move = 0; move < moves; ++move) {
     for (int node = 0; node < nodes; ++node) {
       for (int i = 0; i < kAnswers; ++i)
-        RecordAnswer(table, KeyNumber(move, node),
-                     {AnswerOutcome::kGood,
-                      std::chrono::milliseconds(rng() % kMostMillis), false});
+        RecordResponse(table, KeyNumber(move, node),
+                       {ResponseOutcome::kSucceeded,
+                        std::chrono::milliseconds(rng() % kMostMillis), false});
     }
   }
 }
@@ -91,7 +91,7 @@
   for (int i = 0; i < kSteps; ++i) {
     AddAnswers(table, moves, nodes, rng);
     now += std::chrono::seconds(1);
-    capacity.heard["dc-100"] = now;
+    capacity.last_contact["dc-100"] = now;
     const double begin = ThreadMicros();
     const auto actions = StepMoves(state, *snapshot, table, capacity, now);
     times.push_back(ThreadMicros() - begin);
@@ -99,7 +99,7 @@
   cost.step_us = Summarize(times).p50;
   cost.bytes = BytesInUse() - before;
   const auto& [key, stored] = *table.rows.begin();
-  cost.row_bytes = double(EncodeRow({key, stored.cells}).size());
+  cost.row_bytes = double(EncodeRow({key, stored.counters}).size());
   return cost;
 }
 
--- a/benchmark/moves_bench.cc
+++ b/benchmark/moves_bench.cc
@@ -16,10 +16,13 @@
 ABSL_FLAG(int, threads, 4, "Threads");
 ABSL_FLAG(double, least_rate, 0.2, "Least requests/s of the service");
 ABSL_FLAG(double, most_rate, 2000, "Most requests/s of the service");
-ABSL_FLAG(double, hold, teaselspread::JudgeSettings().hold, "Judge: hold");
+ABSL_FLAG(double,
+          hold,
+          teaselspread::JudgeSettings().hold_score,
+          "Judge: hold");
 ABSL_FLAG(double,
           suspect,
-          teaselspread::JudgeSettings().suspect,
+          teaselspread::JudgeSettings().suspect_score,
           "Judge: suspect");
 ABSL_FLAG(double,
           shared_weight,
@@ -56,10 +59,10 @@
   if (kind == Class::kLittleTraffic)
     most = std::min(most, 0.0);
   setup.rate = std::exp(Uniform(rng, std::min(least, most), most));
-  setup.settings.judge.hold = absl::GetFlag(FLAGS_hold);
-  setup.settings.judge.suspect = absl::GetFlag(FLAGS_suspect);
+  setup.settings.judge.hold_score = absl::GetFlag(FLAGS_hold);
+  setup.settings.judge.suspect_score = absl::GetFlag(FLAGS_suspect);
   setup.settings.judge.shared_weight = absl::GetFlag(FLAGS_shared_weight);
-  setup.settings.judge.stratum_answers =
+  setup.settings.judge.stratum_responses =
       static_cast<std::uint64_t>(absl::GetFlag(FLAGS_stratum_answers));
   return setup;
 }
--- a/benchmark/moves_samples.h
+++ b/benchmark/moves_samples.h
@@ -178,7 +178,7 @@
   return count;
 }
 
-inline void AddLatencies(EvidenceCells& cells,
+inline void AddLatencies(EvidenceCounters& cells,
                          std::uint32_t count,
                          const Buckets& chances,
                          Rng& rng) {
--- a/benchmark/moves_trial.h
+++ b/benchmark/moves_trial.h
@@ -23,12 +23,12 @@
 // Truth and delayed views of one service in one data centre.
 struct Place {
   // [new?][route]
-  std::array<std::array<EvidenceCells, kRoutes>, 2> cells;
-  std::array<EvidenceCells, 2> lives;
+  std::array<std::array<EvidenceCounters, kRoutes>, 2> cells;
+  std::array<EvidenceCounters, 2> lives;
   // Copies of the last ticks, newest first, from which late views are taken.
-  std::deque<std::array<std::array<EvidenceCells, kRoutes>, 2>> past;
+  std::deque<std::array<std::array<EvidenceCounters, kRoutes>, 2>> past;
   // Sums of the new version's answers, for the baselines.
-  std::deque<EvidenceCells> window;
+  std::deque<EvidenceCounters> window;
   // Failures by timeout that have not come to pass yet, by tick.
   std::deque<std::array<std::uint32_t, kRoutes>> hanging;
   int old_targets = 0;
@@ -109,7 +109,7 @@
       TimePoint& heard = this->heard[{place, other}];
       if (!this->IsCut(place, other))
         heard = this->Now();
-      capacity.heard[this->nodes.at(other).data_center] = heard;
+      capacity.last_contact[this->nodes.at(other).data_center] = heard;
     }
     return capacity;
   }
@@ -326,7 +326,7 @@
     if (fresh && here.first_new < 0)
       here.first_new = this->time;
     const Behaviour b = this->BehaviourOf(mover, fresh, place, route, share);
-    EvidenceCells& cells =
+    EvidenceCounters& cells =
         here.cells.at(fresh ? 1 : 0).at(static_cast<std::size_t>(route));
     const std::uint32_t shed = Binomial(count, b.shed, this->rng);
     const std::uint32_t failed = Binomial(count - shed, b.fail, this->rng);
@@ -348,7 +348,7 @@
 
   void CountGood(const Mover& mover,
                  const Place& here,
-                 EvidenceCells& cells,
+                 EvidenceCounters& cells,
                  std::uint32_t good,
                  const Behaviour& b,
                  bool fresh) {
@@ -358,7 +358,7 @@
     std::uint32_t excused = 0;
     if (cold) {
       const auto bound =
-          kColdAnswers * static_cast<std::uint32_t>(here.new_targets);
+          kMaxColdResponses * static_cast<std::uint32_t>(here.new_targets);
       excused = std::min(good, bound - std::min(bound, cells.cold));
       cells.cold += excused;
     }
@@ -486,7 +486,7 @@
                  std::size_t from,
                  const Mover& mover,
                  bool fresh,
-                 const std::array<EvidenceCells, kRoutes>& cells,
+                 const std::array<EvidenceCounters, kRoutes>& cells,
                  const Place& place) {
     EvidenceRow row;
     row.key.move = mover.config.id;
@@ -495,13 +495,14 @@
     row.key.version = fresh ? "v2" : "v1";
     for (std::size_t route = 0; route < kRoutes; ++route) {
       row.key.route = kRouteNames.at(route);
-      row.cells = cells.at(route);
-      if (row.cells.runs + row.cells.shed + row.cells.crash_suspects > 0)
+      row.counters = cells.at(route);
+      if (row.counters.runs + row.counters.shed + row.counters.crash_suspects >
+          0)
         MergeRow(this->tables.at(at), row);
     }
     if (place.lives.at(1).early_exits > 0 && fresh) {
       row.key.route.clear();
-      row.cells = place.lives.at(1);
+      row.counters = place.lives.at(1);
       MergeRow(this->tables.at(at), row);
     }
   }
@@ -563,7 +564,7 @@
     if (this->time < this->log_down_until)
       return;
     this->log.push_back(verdict);
-    NoteLogged(node, verdict, this->Now());
+    OnLoggedVerdict(node, verdict, this->Now());
   }
 
   // The error threshold of both baselines: more than 3% failures among the new
@@ -587,13 +588,13 @@
   static bool ManyFailures(Place& here) {
     constexpr std::size_t kWindow = 60;
     const std::size_t lag = std::min<std::size_t>(2, here.past.size() - 1);
-    EvidenceCells now;
-    for (const EvidenceCells& cells : here.past.at(lag).at(1))
-      AddCells(now, cells);
+    EvidenceCounters now;
+    for (const EvidenceCounters& cells : here.past.at(lag).at(1))
+      AddCounters(now, cells);
     here.window.push_front(now);
     if (here.window.size() > kWindow)
       here.window.pop_back();
-    const EvidenceCells& before = here.window.back();
+    const EvidenceCounters& before = here.window.back();
     const double runs = static_cast<double>(now.runs - before.runs);
     const double failed = static_cast<double>(now.failures - before.failures);
     return runs >= 50 && failed > 0.03 * runs;
@@ -627,7 +628,7 @@
       for (const MovesState& node : this->nodes) {
         const auto verdict = node.verdicts.find(mover.config.id);
         back += verdict != node.verdicts.end() &&
-                        verdict->second.stage == MoveStage::kTakenBack
+                        verdict->second.stage == MoveStage::kRolledBack
                     ? 1
                     : 0;
       }
--- a/include/teaselspread/evidence.h
+++ b/include/teaselspread/evidence.h
@@ -27,7 +27,7 @@
 
 // Answers of one row whose slowness a cold start excuses. Bounded, since a
 // version that stays slow would otherwise be excused by restarting.
-inline constexpr std::uint32_t kColdAnswers = 64;
+inline constexpr std::uint32_t kMaxColdResponses = 64;
 
 // Rows that one table holds; more are refused, so that a peer that invents
 // names cannot fill the memory.
@@ -36,8 +36,8 @@
 // Longest encoded row.
 inline constexpr std::size_t kMaxEvidenceRowBytes = 400;
 
-enum class AnswerOutcome : std::uint8_t {
-  kGood,
+enum class ResponseOutcome : std::uint8_t {
+  kSucceeded,
   kFailed,
   // No answer by the deadline: counts as a failure.
   kTimeout,
@@ -48,8 +48,8 @@
 };
 
 // One answer of an upstream as its gatekeeper saw it.
-struct AnswerSample {
-  AnswerOutcome outcome = AnswerOutcome::kGood;
+struct ResponseSample {
+  ResponseOutcome outcome = ResponseOutcome::kSucceeded;
   // From the first byte sent to the upstream until the last byte back, without
   // the wait in the gatekeeper's queue.
   Duration latency{0};
@@ -76,7 +76,7 @@
   }
 };
 
-struct EvidenceCells {
+struct EvidenceCounters {
   // Answers with an outcome, failures among them.
   std::uint64_t runs = 0;
   std::uint64_t failures = 0;
@@ -90,46 +90,46 @@
   std::uint32_t early_exits = 0;
   std::array<std::uint32_t, kLatencyBuckets> latency{};
 
-  bool operator==(const EvidenceCells&) const = default;
+  bool operator==(const EvidenceCounters&) const = default;
 };
 
 struct EvidenceRow {
   EvidenceKey key;
-  EvidenceCells cells;
+  EvidenceCounters counters;
 
   bool operator==(const EvidenceRow&) const = default;
 };
 
-struct StoredCells {
-  EvidenceCells cells;
+struct StoredCounters {
+  EvidenceCounters counters;
   // The table's revision at the last change of this row.
   std::uint64_t revision = 0;
 };
 
 // Not thread safe: owned by one loop.
 struct EvidenceTable {
-  std::map<EvidenceKey, StoredCells> rows;
+  std::map<EvidenceKey, StoredCounters> rows;
   std::uint64_t revision = 0;
   // Rows refused because the table was full.
-  std::uint64_t refused = 0;
+  std::uint64_t refused_rows = 0;
 };
 
 // Index of the bucket that counts `latency`. Thread safe.
-[[nodiscard]] std::size_t LatencyBucketOf(Duration latency);
+[[nodiscard]] std::size_t LatencyBucketIndex(Duration latency);
 
 // Upper bound of a bucket. Precondition: bucket < kLatencyBuckets. Thread safe.
 [[nodiscard]] Duration LatencyBound(std::size_t bucket);
 
 // Upper bound of the bucket in which the `quantile` (0..1) of the counted
 // latencies lies; zero without any. Thread safe for a constant `cells`.
-[[nodiscard]] Duration LatencyQuantile(const EvidenceCells& cells,
+[[nodiscard]] Duration LatencyQuantile(const EvidenceCounters& cells,
                                        double quantile);
 
 // Counts one answer. Precondition: `key` names the caller's own node and
 // incarnation: a row has one writer. Not thread safe.
-void RecordAnswer(EvidenceTable& table,
-                  const EvidenceKey& key,
-                  const AnswerSample& sample);
+void RecordResponse(EvidenceTable& table,
+                    const EvidenceKey& key,
+                    const ResponseSample& sample);
 
 // Counts that the upstream beside the node became ready. The key's route is
 // ignored. Same preconditions as RecordAnswer.
@@ -150,21 +150,21 @@
 [[nodiscard]] std::vector<EvidenceRow> RowsSince(const EvidenceTable& table,
                                                  std::uint64_t revision,
                                                  std::size_t limit,
-                                                 std::uint64_t* reached);
+                                                 std::uint64_t* next_revision);
 
 // Sum over the rows of a move and version; an empty data centre or route means
 // all of them. Not thread safe.
-[[nodiscard]] EvidenceCells TotalOf(const EvidenceTable& table,
-                                    std::string_view move,
-                                    std::string_view data_center,
-                                    std::string_view version,
-                                    std::string_view route);
+[[nodiscard]] EvidenceCounters TotalOf(const EvidenceTable& table,
+                                       std::string_view move,
+                                       std::string_view data_center,
+                                       std::string_view version,
+                                       std::string_view route);
 
 // Drops the rows of every move that is not in `live`. Not thread safe.
 void PurgeEvidence(EvidenceTable& table, const std::set<std::string>& live);
 
 // Adds `other` to `cells`. Not thread safe.
-void AddCells(EvidenceCells& cells, const EvidenceCells& other);
+void AddCounters(EvidenceCounters& cells, const EvidenceCounters& other);
 
 // At most kMaxEvidenceRowBytes; names are cut off after 32 bytes. Thread safe.
 [[nodiscard]] std::string EncodeRow(const EvidenceRow& row);
--- a/include/teaselspread/judge.h
+++ b/include/teaselspread/judge.h
@@ -27,45 +27,45 @@
 // were chosen from is in docs/design/0003-moves.md.
 struct JudgeSettings {
   // Exposure stops growing, and is halved at most, from here.
-  double suspect = 3;
+  double suspect_score = 3;
   // The new version gets nothing until the old one has confirmed the fault.
-  double hold = 9;
+  double hold_score = 9;
   // A stratum closes when both versions gave this many answers, not before it
   // is much longer than the counters of the two travel apart, ...
-  std::uint64_t stratum_answers = 30;
-  Duration stratum_least = std::chrono::seconds(5);
+  std::uint64_t stratum_responses = 30;
+  Duration min_stratum_age = std::chrono::seconds(5);
   // ... or the old one this many, ...
-  std::uint64_t stratum_old_answers = 100;
+  std::uint64_t stratum_old_responses = 100;
   // ... or at this age.
-  Duration stratum_most = std::chrono::seconds(120);
+  Duration max_stratum_age = std::chrono::seconds(120);
   // ... or when the old version has not answered for so long.
-  Duration control_wait = std::chrono::seconds(5);
+  Duration max_control_wait = std::chrono::seconds(5);
   // A doubt lasts until the old version has given this many answers beside the
   // new one, or for so long.
-  std::uint64_t doubt_answers = 20;
-  Duration doubt_least = std::chrono::seconds(5);
-  Duration doubt_most = std::chrono::seconds(30);
+  std::uint64_t suspicion_old_responses = 20;
+  Duration min_suspicion = std::chrono::seconds(5);
+  Duration max_suspicion = std::chrono::seconds(30);
   // After the start of the judge rows still come in that are older than it.
-  Duration settle = std::chrono::seconds(5);
+  Duration settling_time = std::chrono::seconds(5);
   // Weight of a ratio that has nothing to do with the old version's history,
   // which is how a fault of both versions looks.
   double shared_weight = 0.5;
   // The hold lasts at least this long, because counters of the two versions
   // travel apart and a shared fault may show on the new one first.
-  Duration hold_least = std::chrono::seconds(3);
-  Duration hold_most = std::chrono::seconds(120);
+  Duration min_hold = std::chrono::seconds(3);
+  Duration max_hold = std::chrono::seconds(120);
   // Answers of the old version during the hold.
-  std::uint64_t hold_answers = 3;
+  std::uint64_t hold_old_responses = 3;
   // Bad answers without which nothing is held: two in a row happen by chance
   // somewhere among many moves.
-  double least_bad = 3;
+  double min_bad_responses = 3;
   // Part of `hold` that the evidence must reach together with the stratum
   // before, both at the start and at the end of the hold. A shared fault that
   // has just ended looks for a moment like one of the version whose counters
   // come later, and old answers from after its end would confirm that.
-  double confirm = 0.6;
+  double confirm_fraction = 0.6;
   // Early exits of new upstreams before they can count as crashing on start.
-  std::uint64_t early_exits = 4;
+  std::uint64_t min_early_exits = 4;
 };
 
 enum class Metric : std::uint8_t { kFailures, kLatency, kShedding, kCount };
@@ -80,23 +80,23 @@
 };
 
 // The two versions in one stratum.
-struct Pair {
-  Tally fresh;
-  Tally old;
+struct VersionTallies {
+  Tally new_version;
+  Tally old_version;
 };
 
 // Logarithms of the chances of a bad and of a good answer.
-struct LogChance {
+struct LogProbability {
   double bad = 0;
   double good = 0;
 };
 
 // One ratio of the old version with what it makes of the new one under each
 // hypothesis.
-struct ChancePoint {
-  LogChance old;
-  LogChance same;
-  std::array<LogChance, kAlternatives> worse;
+struct RatioPoint {
+  LogProbability old;
+  LogProbability same;
+  std::array<LogProbability, kAlternatives> worse;
 };
 
 // Ratios that a fault of both versions is taken to have.
@@ -104,17 +104,17 @@
 
 // Worked out once for the bounds of a move, since the judge runs at every node
 // twice a second.
-struct FaultTable {
+struct LikelihoodTable {
   // Added ratio that is still no fault.
-  double tolerated = 0;
-  std::array<double, kAlternatives> faults{};
-  std::array<ChancePoint, kSharedRatios> points{};
+  double tolerated_increase = 0;
+  std::array<double, kAlternatives> fault_increases{};
+  std::array<RatioPoint, kSharedRatios> points{};
 };
 
 // The two versions, as sums of rows or as what was added to them.
-struct RouteTotals {
-  EvidenceCells fresh;
-  EvidenceCells old;
+struct VersionTotals {
+  EvidenceCounters new_version;
+  EvidenceCounters old_version;
 };
 
 using ScoreTable = std::array<std::array<double, kAlternatives>, kMetrics>;
@@ -126,57 +126,57 @@
 // new version's part may come first, in a stratum that closes before the old
 // one's part has come. What a stratum says against the new version is therefore
 // summed only as far as it still holds when the next stratum is added to it.
-struct ScopeJudge {
+struct ScopeState {
   // Totals counted so far, by data centre.
-  std::map<std::string, RouteTotals> seen;
+  std::map<std::string, VersionTotals> last_totals;
   // The old version before the last closed stratum.
-  EvidenceCells history;
-  RouteTotals last;
-  RouteTotals open;
-  TimePoint opened;
+  EvidenceCounters history;
+  VersionTotals previous;
+  VersionTotals current_totals;
+  TimePoint current_since;
   // Up to the stratum before `last`.
-  ScoreTable sums{};
+  ScoreTable score_sums{};
   // What `last` adds.
-  ScoreTable last_added{};
+  ScoreTable previous_scores{};
   // Bad answers of the new version behind the sums, and in `last`.
-  std::array<double, kMetrics> bad{};
-  std::array<double, kMetrics> last_bad{};
+  std::array<double, kMetrics> summed_bad{};
+  std::array<double, kMetrics> previous_bad{};
 };
 
-enum class Finding : std::uint8_t { kCalm, kSuspect, kHeld, kBad };
+enum class Finding : std::uint8_t { kNone, kSuspect, kHeld, kFault };
 
 struct JudgeState {
   MoveBounds bounds;
-  std::array<FaultTable, kMetrics> tables{};
-  std::map<std::string, ScopeJudge> scopes;
+  std::array<LikelihoodTable, kMetrics> tables{};
+  std::map<std::string, ScopeState> scopes;
   // Epoch before the first step.
-  TimePoint started;
+  TimePoint started_at;
   // Epoch while nothing is held.
   TimePoint held_since;
   // Answers of the old version when the hold began.
   std::uint64_t old_runs_at_hold = 0;
-  double confirmed_at_hold = 0;
+  double confirmed_score_at_hold = 0;
   // Epoch while nothing is doubted.
-  TimePoint doubted_since;
-  std::uint64_t old_runs_at_doubt = 0;
+  TimePoint suspected_since;
+  std::uint64_t old_runs_at_suspicion = 0;
 };
 
 // The strongest test at this moment.
 struct Judgement {
-  Finding finding = Finding::kCalm;
+  Finding finding = Finding::kNone;
   VerdictReason reason = VerdictReason::kNone;
   std::string scope;
   double score = 0;
   // The score together with the stratum before.
-  double confirmed = 0;
-  Pair pair;
+  double confirmed_score = 0;
+  VersionTallies tallies;
 };
 
 // The totals of one scope in one data centre, the sum of the rows known now.
-struct Feed {
+struct ScopeTotals {
   std::string scope;
   std::string data_center;
-  RouteTotals totals;
+  VersionTotals totals;
   // False: take note only. What comes after a silence cannot be put side by
   // side in time.
   bool counted = true;
@@ -189,15 +189,15 @@
 [[nodiscard]] Judgement StepJudge(JudgeState& state,
                                   const JudgeSettings& settings,
                                   const MoveBounds& bounds,
-                                  const std::vector<Feed>& feeds,
+                                  const std::vector<ScopeTotals>& feeds,
                                   bool old_serves,
                                   TimePoint now);
 
 // New upstreams that announce themselves and vanish again and again, when the
 // old ones do not. Thread safe for constant arguments.
 [[nodiscard]] bool CrashesOnStart(const JudgeSettings& settings,
-                                  const EvidenceCells& fresh,
-                                  const EvidenceCells& old);
+                                  const EvidenceCounters& fresh,
+                                  const EvidenceCounters& old);
 
 }  // namespace teaselspread
 
--- a/include/teaselspread/move_account.h
+++ b/include/teaselspread/move_account.h
@@ -23,7 +23,7 @@
   // it knows: it may still take the move back.
   kUnconfirmed,
   kDone,
-  kTakenBack,
+  kRolledBack,
   kCount,
 };
 
@@ -34,7 +34,7 @@
 struct AccountDataCenter {
   std::string name;
   // False: the figures are the last ones heard, or none at all.
-  bool heard = false;
+  bool reachable = false;
   bool reported = false;
   DataCenterReport report;
 };
@@ -48,7 +48,7 @@
   TimePoint start;
   TimePoint by;
   // Until `by`; negative when it has passed.
-  Duration left{0};
+  Duration time_left{0};
   std::vector<AccountDataCenter> data_centers;
   VerdictReason reason = VerdictReason::kNone;
   // One or more sentences for a person.
--- a/include/teaselspread/moves.h
+++ b/include/teaselspread/moves.h
@@ -30,34 +30,34 @@
 struct MovesSettings {
   JudgeSettings judge;
   // Least part of the requests that the new version begins with.
-  double first_share = 0.01;
+  double min_first_share = 0.01;
   // Most, however little traffic there is: the rest shows what the old version
   // does at the same time.
-  double first_share_most = 0.5;
+  double max_first_share = 0.5;
   // Requests that the first stage is meant to give to the new version.
   double first_requests = 8;
   // Part of the time between start and `by` less the watch that the ramp takes.
-  double ramp_part = 0.75;
+  double ramp_fraction = 0.75;
   // Good answers that a stage needs at most.
-  double stage_answers = 150;
+  double max_stage_responses = 150;
   // Good answers that a stage needs even in a hurry, if they come within...
-  double stage_answers_least = 30;
+  double min_stage_responses = 30;
   // ... this time.
-  Duration stage_patience = std::chrono::seconds(5);
+  Duration min_stage_window = std::chrono::seconds(5);
   // Part of a stage's expected answers that must be there to go on.
-  double stage_part = 0.5;
+  double stage_fraction = 0.5;
   // Part of the new version's slots that may be in use.
-  double usable_slots = 0.85;
+  double usable_slot_fraction = 0.85;
   // A data centre is unheard when nothing came from it for so long.
-  Duration unheard_after = std::chrono::seconds(10);
+  Duration silence_timeout = std::chrono::seconds(10);
   // How often an unchanged report is sent again.
-  Duration report_every = std::chrono::seconds(3);
+  Duration report_interval = std::chrono::seconds(3);
   // The same when the move has ended.
-  Duration report_ended_every = std::chrono::seconds(30);
+  Duration ended_report_interval = std::chrono::seconds(30);
   // Verdicts are written to the log again this often until seen there, ...
-  Duration append_every = std::chrono::seconds(5);
+  Duration append_interval = std::chrono::seconds(5);
   // ... and again before the log's retention drops them.
-  Duration append_again = std::chrono::hours(8);
+  Duration reappend_after = std::chrono::hours(8);
 };
 
 // What the node knows of the deployment beside its evidence.
@@ -65,7 +65,7 @@
   // Slots ready in the own data centre, by service and version.
   std::map<std::pair<std::string, std::string>, int> ready_slots;
   // When each other data centre was last heard.
-  std::map<std::string, TimePoint> heard;
+  std::map<std::string, TimePoint> last_contact;
 };
 
 // What holds the share of a running move down.
@@ -88,20 +88,20 @@
 struct Demand {
   bool known = false;
   // Taken from the data centre's report after a restart.
-  bool told = false;
-  TimePoint first;
-  TimePoint last;
+  bool from_report = false;
+  TimePoint first_seen;
+  TimePoint last_seen;
   std::uint64_t runs = 0;
   double rate = 0;
   // Mean time in a slot, in seconds.
-  double busy = 0;
+  double mean_slot_seconds = 0;
 };
 
 struct MoveState {
   // From the snapshot; `from` and `to` stay as they were first seen, because
   // evidence and verdicts under this id speak of those two.
   MoveConfig config;
-  bool renamed = false;
+  bool versions_changed = false;
   MoveStage stage = MoveStage::kRunning;
   double share = 0;
   ShareLimit limit = ShareLimit::kNotStarted;
@@ -111,11 +111,11 @@
   JudgeState judge;
   Judgement judgement;
   // Data centres that were silent not long ago.
-  std::map<std::string, TimePoint> doubted_until;
+  std::map<std::string, TimePoint> catching_up_until;
   // Full share reached at, epoch if not.
   TimePoint full_since;
   TimePoint reported_at;
-  TimePoint spread_at;
+  TimePoint verdict_spread_at;
   TimePoint appended_at;
   // When the verdict was seen in the log, epoch if it was not.
   TimePoint logged_at;
@@ -162,7 +162,7 @@
 
 // A verdict was read in the log: merges it, and stops appending one that is no
 // higher. Not thread safe.
-bool NoteLogged(MovesState& state, const Verdict& verdict, TimePoint now);
+bool OnLoggedVerdict(MovesState& state, const Verdict& verdict, TimePoint now);
 
 // A report from a peer. True when it changed anything. Not thread safe.
 bool MergeReport(MovesState& state, const DataCenterReport& report);
--- a/include/teaselspread/verdict.h
+++ b/include/teaselspread/verdict.h
@@ -13,7 +13,7 @@
 namespace teaselspread {
 
 // The lattice: a verdict is replaced by a higher one only.
-enum class MoveStage : std::uint8_t { kRunning, kDone, kTakenBack };
+enum class MoveStage : std::uint8_t { kRunning, kDone, kRolledBack };
 
 enum class VerdictReason : std::uint8_t {
   kNone,
@@ -37,7 +37,7 @@
   std::string to;
   MoveStage stage = MoveStage::kRunning;
   VerdictReason reason = VerdictReason::kNone;
-  TimePoint at;
+  TimePoint decided_at;
   // Where and on which route it was seen; "*" for all routes together.
   std::string data_center;
   std::string route;
@@ -59,7 +59,7 @@
 struct DataCenterReport {
   std::string move;
   std::string data_center;
-  TimePoint at;
+  TimePoint reported_at;
   // Part of its requests that go to the new version, 0..1.
   double share = 0;
   // Its requests per second, for nodes that have just started.
--- a/src/edge/edge_node.cc
+++ b/src/edge/edge_node.cc
@@ -74,7 +74,7 @@
 }
 
 void TakeNotes(EdgeNode& node, const Peer& peer) {
-  node.versions.TakeNotes(peer.node, peer.status.moves);
+  node.versions.OnPeerStatuses(peer.node, peer.status.moves);
   if (!peer.status.suspects.empty())
     node.gate.TakeSuspectNotes(peer.status.suspects);
   TakeShortage(node.entry.shortage, peer.node, peer.status.shortages,
@@ -88,7 +88,7 @@
       nodes.begin(), nodes.end(),
       [&node](const std::string& name) { return name < node.settings.vm; });
   node.reporter.Step(static_cast<std::size_t>(rank));
-  node.notes = node.versions.Notes();
+  node.notes = node.versions.Statuses();
   TellStatus(node);
 }
 
@@ -373,7 +373,7 @@
   const std::string& vm = node.settings.vm;
   const auto life =
       static_cast<std::uint64_t>(SystemNow().time_since_epoch().count());
-  node.versions.SetLife(life);
+  node.versions.SetIncarnation(life);
   node.gate.SetOrigin(XXH3_64bits_withSeed(vm.data(), vm.size(), life));
   // The version of an upstream may have become known with the change: until the
   // choice of versions knows it too, the upstream fits no request.
@@ -464,7 +464,7 @@
     return;
   }
   if (const auto* move = std::get_if<MoveOrder>(&*order))
-    node.versions.TakeOrder(*move);
+    node.versions.OnOrder(*move);
   const auto* snapshot = std::get_if<SnapshotPtr>(&*order);
   if (snapshot == nullptr)
     return;
--- a/src/edge/edge_node.h
+++ b/src/edge/edge_node.h
@@ -57,7 +57,7 @@
   std::uint64_t next_remote_run = 0;
   ConfigExchange exchange;
   // Told to the others with the status; refreshed with each tick.
-  std::vector<TrialNote> notes;
+  std::vector<TrialStatus> notes;
   bool intake_closed = false;
   bool stopping = false;
   TimePoint stop_at;
--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -46,7 +46,7 @@
 // that is not the first choice is better than a refusal, and so is a link in
 // doubt.
 int RankOf(VersionFit fit, bool in_doubt) {
-  const int spare = fit == VersionFit::kSpare ? 1 : 0;
+  const int spare = fit == VersionFit::kFallback ? 1 : 0;
   return spare + (in_doubt ? 2 : 0);
 }
 
--- a/src/edge/entry_answers.cc
+++ b/src/edge/entry_answers.cc
@@ -115,13 +115,13 @@
   const Peer* peer = this->links.Find(pending.node);
   const GateStatus own = this->gate.Status();
   const GateStatus& seen = peer == nullptr ? own : peer->status;
-  TrialAnswer answer;
+  TrialResponse answer;
   answer.instance = seen.instance;
   answer.route = pending.route->name;
   answer.bad = bad;
   answer.timed = seen.warm_up_ms == 0;
-  answer.took = took;
-  this->versions.OnAnswer(pending.service, pending.version, answer);
+  answer.latency = took;
+  this->versions.OnResponse(pending.service, pending.version, answer);
 }
 
 void Entry::Learn(const std::string& node, bool failed) {
--- a/src/edge/frames.cc
+++ b/src/edge/frames.cc
@@ -18,14 +18,15 @@
   codec(value.name, value.value);
 }
 template <class C>
-void Fields(C& codec, FieldsOf<C, TrialCell> value) {
-  codec(value.instance, value.route, value.fresh, value.runs, value.bad);
-  codec(value.slow, value.timed, value.sum_ms);
+void Fields(C& codec, FieldsOf<C, TrialCounters> value) {
+  codec(value.instance, value.route, value.of_new_version, value.runs,
+        value.bad);
+  codec(value.slow, value.timed, value.total_ms);
 }
 template <class C>
-void Fields(C& codec, FieldsOf<C, TrialNote> value) {
+void Fields(C& codec, FieldsOf<C, TrialStatus> value) {
   codec(value.service, value.to, value.reported, value.moved, value.age_ms);
-  codec(value.duration_ms, value.life, value.cells);
+  codec(value.duration_ms, value.incarnation, value.counters);
   codec.Enum(value.progress, MoveProgress::kTakenBack);
 }
 template <class C>
--- a/src/edge/frames.h
+++ b/src/edge/frames.h
@@ -55,7 +55,7 @@
   // not count as a reader of the operators' stream.
   bool store_lost = false;
   // What this node knows of moves.
-  std::vector<TrialNote> moves;
+  std::vector<TrialStatus> moves;
   std::vector<SuspectNote> suspects;
   // Services that had no room for this node's requests, and calls that running
   // requests make.
--- a/src/edge/latency_histogram.h
+++ b/src/edge/latency_histogram.h
@@ -18,7 +18,7 @@
 
 // Not thread safe.
 inline void Count(LatencyHistogram& histogram, Duration latency) {
-  ++histogram.counts.at(LatencyBucketOf(latency));
+  ++histogram.counts.at(LatencyBucketIndex(latency));
   ++histogram.count;
   histogram.sum += latency;
 }
--- a/src/edge/move_reporter.cc
+++ b/src/edge/move_reporter.cc
@@ -35,7 +35,7 @@
 void MoveReporter::TakePage(const RecordPage& page) {
   for (const StoredRecord& record : page.records) {
     if (const auto report = this->adapter.decode_report(record))
-      this->versions.TakeReport(*report);
+      this->versions.OnReport(*report);
   }
 }
 
--- a/src/edge/version_choice.cc
+++ b/src/edge/version_choice.cc
@@ -16,14 +16,14 @@
 void LogProgress(const VersionTrial& trial, const char* why) {
   std::uint64_t runs = 0;
   std::uint64_t bad = 0;
-  const auto add = [&](const TrialCell& cell) {
-    runs += cell.fresh ? cell.runs : 0;
-    bad += cell.fresh ? cell.bad : 0;
+  const auto add = [&](const TrialCounters& cell) {
+    runs += cell.of_new_version ? cell.runs : 0;
+    bad += cell.of_new_version ? cell.bad : 0;
   };
   for (const auto& [key, cell] : trial.own)
     add(cell);
   for (const auto& [node, note] : trial.peers)
-    std::for_each(note.cells.begin(), note.cells.end(), add);
+    std::for_each(note.counters.begin(), note.counters.end(), add);
   constexpr std::int64_t kMicrosPerMilli = 1000;
   Log(LogLevel::kInfo, "moves", "progress",
       {{"move", trial.order.service},
@@ -33,11 +33,11 @@
        {"new_runs", runs},
        {"new_bad", bad},
        {"nodes_heard", trial.peers.size()},
-       {"age_ms", (SteadyNow() - trial.started).count() / kMicrosPerMilli}});
+       {"age_ms", (SteadyNow() - trial.started_at).count() / kMicrosPerMilli}});
 }
 
-bool HaveMoved(const VersionTrial& trial,
-               const std::vector<std::string>& nodes) {
+bool AllHaveMoved(const VersionTrial& trial,
+                  const std::vector<std::string>& nodes) {
   return std::all_of(nodes.begin(), nodes.end(),
                      [&trial](const std::string& node) {
                        const auto peer = trial.peers.find(node);
@@ -50,16 +50,17 @@
 VersionFit FitOf(const PickedVersion& picked,
                  std::string_view version,
                  std::string_view instance) {
-  if (version.empty() && picked.unknown_too)
-    return VersionFit::kFirst;
+  if (version.empty() && picked.allow_unknown)
+    return VersionFit::kPreferred;
   if (version.empty())
-    return picked.unknown_spare ? VersionFit::kSpare : VersionFit::kNone;
+    return picked.fallback_unknown ? VersionFit::kFallback : VersionFit::kNone;
   const bool chosen =
-      picked.only.empty() || std::find(picked.only.begin(), picked.only.end(),
-                                       instance) != picked.only.end();
+      picked.instances.empty() ||
+      std::find(picked.instances.begin(), picked.instances.end(), instance) !=
+          picked.instances.end();
   if (version == picked.version && chosen)
-    return VersionFit::kFirst;
-  return version == picked.spare ? VersionFit::kSpare : VersionFit::kNone;
+    return VersionFit::kPreferred;
+  return version == picked.fallback ? VersionFit::kFallback : VersionFit::kNone;
 }
 
 void VersionChoice::SetReady(const std::vector<ReadyUpstream>& all) {
@@ -80,14 +81,14 @@
 // A version that nobody ordered gets nothing while another serves: upstreams
 // of a new one may be up before the order to move is read.
 std::string VersionChoice::MostReady(const Versions& versions,
-                                     std::string_view but) {
+                                     std::string_view excluded) {
   std::string best;
-  std::uint32_t most = 0;
+  std::uint32_t most_slots = 0;
   for (const auto& [name, version] : versions) {
-    if (name.empty() || name == but || version.slots <= most)
+    if (name.empty() || name == excluded || version.slots <= most_slots)
       continue;
     best = name;
-    most = version.slots;
+    most_slots = version.slots;
   }
   return best;
 }
@@ -105,9 +106,9 @@
 PickedVersion VersionChoice::PickWithoutOrder(const Versions& versions) {
   const std::string known = MostReady(versions, "");
   PickedVersion picked;
-  picked.unknown_too = true;
+  picked.allow_unknown = true;
   if (!known.empty() && MostlyUnknown(versions, known))
-    picked.spare = known;
+    picked.fallback = known;
   else
     picked.version = known;
   return picked;
@@ -119,8 +120,8 @@
     return PickWithoutOrder(versions);
   PickedVersion picked;
   picked.version = to;
-  picked.unknown_too = MostlyUnknown(versions, to);
-  picked.unknown_spare = true;
+  picked.allow_unknown = MostlyUnknown(versions, to);
+  picked.fallback_unknown = true;
   return picked;
 }
 
@@ -129,12 +130,12 @@
 PickedVersion VersionChoice::PickWithoutOld(const VersionTrial& trial,
                                             const Versions& versions) {
   const std::string& to = trial.order.to;
-  const bool taken_back = trial.progress == MoveProgress::kTakenBack;
+  const bool is_rollback = trial.progress == MoveProgress::kTakenBack;
   PickedVersion picked;
-  picked.unknown_too =
-      taken_back || !versions.contains(to) || MostlyUnknown(versions, to);
-  picked.unknown_spare = !taken_back;
-  if (!picked.unknown_too)
+  picked.allow_unknown =
+      is_rollback || !versions.contains(to) || MostlyUnknown(versions, to);
+  picked.fallback_unknown = !is_rollback;
+  if (!picked.allow_unknown)
     picked.version = to;
   return picked;
 }
@@ -143,22 +144,22 @@
                                          const std::string& old,
                                          const Version& fresh) {
   const double share = ShareOf(trial, SteadyNow());
-  const auto weight =
+  const auto new_weight =
       static_cast<std::uint32_t>(std::lround(share * kWeightScale));
   const std::array<std::uint32_t, 2> weights = {
-      weight, static_cast<std::uint32_t>(kWeightScale) - weight};
+      new_weight, static_cast<std::uint32_t>(kWeightScale) - new_weight};
   PickedVersion picked;
   // A node that has moved sends nothing to the old version any more.
-  picked.unknown_spare = share < 1;
+  picked.fallback_unknown = share < 1;
   if (NextTurn(this->turns[trial.order.service], weights) != 0) {
     picked.version = old;
     return picked;
   }
   picked.version = trial.order.to;
-  picked.only = fresh.instances;
-  picked.only.resize(UpstreamsInUse(trial, fresh.instances.size(), share));
+  picked.instances = fresh.instances;
+  picked.instances.resize(UpstreamsInUse(trial, fresh.instances.size(), share));
   if (share < 1)
-    picked.spare = old;
+    picked.fallback = old;
   return picked;
 }
 
@@ -175,7 +176,7 @@
     return this->PickByShare(trial, old, fresh->second);
   PickedVersion picked;
   picked.version = old;
-  picked.unknown_spare = trial.progress == MoveProgress::kRunning;
+  picked.fallback_unknown = trial.progress == MoveProgress::kRunning;
   return picked;
 }
 
@@ -189,7 +190,7 @@
              : this->PickInTrial(trial->second, found->second);
 }
 
-void VersionChoice::TakeOrder(const MoveOrder& order) {
+void VersionChoice::OnOrder(const MoveOrder& order) {
   const auto found = this->trials.find(order.service);
   if (found != this->trials.end()) {
     VersionTrial& trial = found->second;
@@ -198,7 +199,7 @@
       return;
     }
     // A node that reads the store late meets older orders first.
-    const Duration age = SteadyNow() - trial.started;
+    const Duration age = SteadyNow() - trial.started_at;
     if (trial.from_peer && age < trial.order.duration)
       return;
   }
@@ -208,8 +209,8 @@
 void VersionChoice::BeginTrial(const MoveOrder& order, bool from_peer) {
   VersionTrial trial;
   trial.order = order;
-  trial.started = SteadyNow();
-  trial.life = this->life;
+  trial.started_at = SteadyNow();
+  trial.incarnation = this->incarnation;
   trial.from_peer = from_peer;
   if (const auto known = this->reports.find(order.service);
       known != this->reports.end() && known->second.to == order.to) {
@@ -220,7 +221,7 @@
   this->trials.insert_or_assign(order.service, std::move(trial));
 }
 
-void VersionChoice::TakeReport(const MoveReport& report) {
+void VersionChoice::OnReport(const MoveReport& report) {
   this->reports[report.service] = report;
   const auto found = this->trials.find(report.service);
   if (found == this->trials.end() || found->second.order.to != report.to)
@@ -234,10 +235,10 @@
   trial.reported = report.progress == trial.progress;
 }
 
-void VersionChoice::TakeNotes(const std::string& node,
-                              const std::vector<TrialNote>& notes) {
-  for (const TrialNote& note : notes) {
-    if (this->TellsNewOrder(note)) {
+void VersionChoice::OnPeerStatuses(const std::string& node,
+                                   const std::vector<TrialStatus>& notes) {
+  for (const TrialStatus& note : notes) {
+    if (this->IsNewOrder(note)) {
       const auto duration = std::chrono::milliseconds(note.duration_ms);
       this->BeginTrial({note.service, note.to, duration}, true);
     }
@@ -245,7 +246,7 @@
     if (found == this->trials.end() || found->second.order.to != note.to)
       continue;
     const MoveProgress before = found->second.progress;
-    TakeNote(found->second, node, note, SteadyNow());
+    MergeStatus(found->second, node, note, SteadyNow());
     if (found->second.progress != before)
       LogProgress(found->second, "peer");
   }
@@ -254,12 +255,12 @@
 // A node that is cut off from the store cannot read orders. Without those that
 // its peers tell it would send all its requests to the old version, and no move
 // could be done until it is back.
-bool VersionChoice::TellsNewOrder(const TrialNote& note) const {
+bool VersionChoice::IsNewOrder(const TrialStatus& note) const {
   const auto found = this->trials.find(note.service);
   if (found == this->trials.end())
     return note.duration_ms > 0;
   const VersionTrial& own = found->second;
-  const Duration own_age = SteadyNow() - own.started;
+  const Duration own_age = SteadyNow() - own.started_at;
   return own.order.to != note.to && note.progress == MoveProgress::kRunning &&
          note.duration_ms > 0 &&
          std::chrono::milliseconds(note.age_ms) < own_age;
@@ -272,17 +273,17 @@
   }
 }
 
-void VersionChoice::OnAnswer(std::string_view service,
-                             std::string_view version,
-                             const TrialAnswer& answer) {
+void VersionChoice::OnResponse(std::string_view service,
+                               std::string_view version,
+                               const TrialResponse& answer) {
   const auto found = this->trials.find(std::string(service));
   // An answer of an unknown version speaks for none.
   if (version.empty() || found == this->trials.end() ||
       found->second.progress != MoveProgress::kRunning)
     return;
-  TrialAnswer counted = answer;
-  counted.fresh = version == found->second.order.to;
-  RecordTrial(found->second, counted);
+  TrialResponse counted = answer;
+  counted.from_new_version = version == found->second.order.to;
+  RecordTrialResponse(found->second, counted);
 }
 
 void VersionChoice::Step(const std::vector<std::string>& nodes) {
@@ -298,7 +299,7 @@
         view.old_idle = view.old_idle && (fresh || version.load == 0);
       }
     }
-    view.all_moved = ShareOf(trial, now) >= 1 && HaveMoved(trial, nodes);
+    view.all_moved = ShareOf(trial, now) >= 1 && AllHaveMoved(trial, nodes);
     if (!StepTrial(trial, view, now))
       continue;
     trial.reported = false;
@@ -306,10 +307,10 @@
   }
 }
 
-std::vector<TrialNote> VersionChoice::Notes() const {
-  std::vector<TrialNote> notes;
+std::vector<TrialStatus> VersionChoice::Statuses() const {
+  std::vector<TrialStatus> notes;
   for (const auto& [service, trial] : this->trials)
-    notes.push_back(NoteOf(trial, SteadyNow()));
+    notes.push_back(StatusOf(trial, SteadyNow()));
   return notes;
 }
 
--- a/src/edge/version_choice.h
+++ b/src/edge/version_choice.h
@@ -35,17 +35,17 @@
   // Empty when no known version is chosen.
   std::string version;
   // Processes that may get the request; empty means any of the version.
-  std::vector<std::string> only;
+  std::vector<std::string> instances;
   // Upstreams whose version is not known yet may get it too.
-  bool unknown_too = false;
+  bool allow_unknown = false;
   // When all of the above are used up: a version that may get the request,
   // empty means none, and whether upstreams of unknown version may.
-  std::string spare;
-  bool unknown_spare = false;
+  std::string fallback;
+  bool fallback_unknown = false;
 };
 
 // How well an upstream fits what was chosen.
-enum class VersionFit : std::uint8_t { kFirst, kSpare, kNone };
+enum class VersionFit : std::uint8_t { kPreferred, kFallback, kNone };
 
 // Thread safe.
 [[nodiscard]] VersionFit FitOf(const PickedVersion& picked,
@@ -56,7 +56,7 @@
 class VersionChoice {
  public:
   // Tells this life of the node from others. Call once, before the first order.
-  void SetLife(std::uint64_t own) { this->life = own; }
+  void SetIncarnation(std::uint64_t own) { this->incarnation = own; }
 
   // What is ready now.
   void SetReady(const std::vector<ReadyUpstream>& ready);
@@ -66,20 +66,21 @@
 
   // A first order, or one to another version than before, begins a trial. One
   // that another node has told already only confirms it.
-  void TakeOrder(const MoveOrder& order);
+  void OnOrder(const MoveOrder& order);
   // What the store says of a move; ends a trial that it names.
-  void TakeReport(const MoveReport& report);
-  void TakeNotes(const std::string& node, const std::vector<TrialNote>& notes);
+  void OnReport(const MoveReport& report);
+  void OnPeerStatuses(const std::string& node,
+                      const std::vector<TrialStatus>& notes);
   void ForgetNode(const std::string& node);
 
-  void OnAnswer(std::string_view service,
-                std::string_view version,
-                const TrialAnswer& answer);
+  void OnResponse(std::string_view service,
+                  std::string_view version,
+                  const TrialResponse& answer);
 
   // Judges; `nodes` are the others in touch.
   void Step(const std::vector<std::string>& nodes);
 
-  [[nodiscard]] std::vector<TrialNote> Notes() const;
+  [[nodiscard]] std::vector<TrialStatus> Statuses() const;
   [[nodiscard]] const std::map<std::string, VersionTrial>& Trials() const {
     return this->trials;
   }
@@ -96,7 +97,7 @@
 
   void BeginTrial(const MoveOrder& order, bool from_peer);
   // Whether a peer's note names an order that this node has not read.
-  [[nodiscard]] bool TellsNewOrder(const TrialNote& note) const;
+  [[nodiscard]] bool IsNewOrder(const TrialStatus& note) const;
   [[nodiscard]] static std::string MostReady(const Versions& versions,
                                              std::string_view but);
   // Whether the slots of unknown version are as many as those of `version`.
@@ -118,7 +119,7 @@
   std::map<std::string, VersionTrial> trials;
   // Turns between the old and the new version, by service.
   std::map<std::string, WeightedTurns> turns;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   // What the store said before an order was read.
   std::map<std::string, MoveReport> reports;
 };
--- a/src/moves/account.cc
+++ b/src/moves/account.cc
@@ -32,15 +32,15 @@
   return std::chrono::duration_cast<std::chrono::seconds>(duration).count();
 }
 
-bool Heard(const MovesState& state,
-           const MoveCapacity& capacity,
-           const std::string& data_center,
-           TimePoint now) {
+bool IsReachable(const MovesState& state,
+                 const MoveCapacity& capacity,
+                 const std::string& data_center,
+                 TimePoint now) {
   if (data_center == state.data_center)
     return true;
-  const auto heard = capacity.heard.find(data_center);
-  return heard != capacity.heard.end() &&
-         now - heard->second <= state.settings.unheard_after;
+  const auto contact = capacity.last_contact.find(data_center);
+  return contact != capacity.last_contact.end() &&
+         now - contact->second <= state.settings.silence_timeout;
 }
 
 std::vector<AccountDataCenter> DataCentersOf(const MovesState& state,
@@ -52,7 +52,7 @@
   for (const std::string& name : snapshot.data_centers) {
     AccountDataCenter data_center;
     data_center.name = name;
-    data_center.heard = Heard(state, capacity, name, now);
+    data_center.reachable = IsReachable(state, capacity, name, now);
     if (const auto report = state.reports.find({move, name});
         report != state.reports.end()) {
       data_center.reported = true;
@@ -65,15 +65,15 @@
 
 bool AllKnowDone(const std::vector<AccountDataCenter>& all) {
   return std::all_of(all.begin(), all.end(), [](const auto& data_center) {
-    return data_center.heard && data_center.reported &&
+    return data_center.reachable && data_center.reported &&
            data_center.report.stage == MoveStage::kDone;
   });
 }
 
 AccountState StateOf(const AccountRow& row, MoveStage stage, TimePoint now) {
   switch (stage) {
-    case MoveStage::kTakenBack:
-      return AccountState::kTakenBack;
+    case MoveStage::kRolledBack:
+      return AccountState::kRolledBack;
     case MoveStage::kDone:
       return AllKnowDone(row.data_centers) ? AccountState::kDone
                                            : AccountState::kUnconfirmed;
@@ -85,7 +85,7 @@
   return now > row.by ? AccountState::kLate : AccountState::kRunning;
 }
 
-std::string Compared(const Verdict& v) {
+std::string FormatComparison(const Verdict& v) {
   return absl::StrFormat(
       "%.1f%% of %d answers of %s against %.1f%% of %d of %s",
       100 * v.new_ratio, v.new_runs, v.to, 100 * v.old_ratio, v.old_runs,
@@ -94,30 +94,30 @@
 
 // The judge's scope in words: a route, "*" for all, and "everywhere" in front
 // when the answers of all data centres were put together.
-std::string Place(const Verdict& v) {
+std::string FormatLocation(const Verdict& v) {
   constexpr std::string_view kEverywhere = "everywhere";
   std::string route = v.route;
-  std::string place = v.data_center;
+  std::string location = v.data_center;
   if (route.rfind(kEverywhere, 0) == 0) {
-    place = "all data centres together";
+    location = "all data centres together";
     route.erase(0, std::min(route.size(), kEverywhere.size() + 1));
   }
   if (route.empty() || route == "*")
-    return place;
-  return place + ", route " + route;
+    return location;
+  return location + ", route " + route;
 }
 
-std::string Explain(const Verdict& v) {
+std::string ExplainVerdict(const Verdict& v) {
   switch (v.reason) {
     case VerdictReason::kFailures:
-      return absl::StrFormat("Taken back: more failures at %s (%s).", Place(v),
-                             Compared(v));
+      return absl::StrFormat("Taken back: more failures at %s (%s).",
+                             FormatLocation(v), FormatComparison(v));
     case VerdictReason::kLatency:
       return absl::StrFormat("Taken back: slower at %s (slow answers: %s).",
-                             Place(v), Compared(v));
+                             FormatLocation(v), FormatComparison(v));
     case VerdictReason::kShedding:
       return absl::StrFormat("Taken back: refused more work at %s (%s).",
-                             Place(v), Compared(v));
+                             FormatLocation(v), FormatComparison(v));
     case VerdictReason::kCrashOnStart:
       return absl::StrFormat(
           "Taken back: new upstreams at %s vanish soon after they are ready.",
@@ -135,21 +135,21 @@
     return "This node has not looked at the move yet.";
   std::string text(
       kLimitSentences.at(static_cast<std::size_t>(found->second.limit)));
-  if (found->second.renamed)
+  if (found->second.versions_changed)
     text +=
         " The file names other versions under this id now; they are ignored. "
         "A new move needs a new id.";
   return text;
 }
 
-void NoteUnknown(AccountRow& row, MoveStage stage, TimePoint now) {
+void AddUnknowns(AccountRow& row, MoveStage stage, TimePoint now) {
   for (const AccountDataCenter& data_center : row.data_centers) {
     const std::string& name = data_center.name;
-    if (!data_center.heard && data_center.reported) {
+    if (!data_center.reachable && data_center.reported) {
       row.unknown.push_back(
           absl::StrFormat("%s is not heard; its last report is %d s old.", name,
-                          Seconds(now - data_center.report.at)));
-    } else if (!data_center.heard) {
+                          Seconds(now - data_center.report.reported_at)));
+    } else if (!data_center.reachable) {
       row.unknown.push_back(name + " is not heard and has reported nothing.");
     } else if (!data_center.reported) {
       row.unknown.push_back(name + " has reported nothing yet.");
@@ -172,7 +172,7 @@
   row.to = move.to;
   row.start = move.start;
   row.by = move.by;
-  row.left = move.by - now;
+  row.time_left = move.by - now;
   row.data_centers = DataCentersOf(state, snapshot, capacity, move.id, now);
   MoveStage stage = MoveStage::kRunning;
   if (const auto verdict = state.verdicts.find(move.id);
@@ -181,12 +181,12 @@
     row.from = verdict->second.from;
     row.to = verdict->second.to;
     row.reason = verdict->second.reason;
-    row.explanation = Explain(verdict->second);
+    row.explanation = ExplainVerdict(verdict->second);
   } else {
     row.explanation = ExplainRunning(state, move.id);
   }
   row.state = StateOf(row, stage, now);
-  NoteUnknown(row, stage, now);
+  AddUnknowns(row, stage, now);
   return row;
 }
 
@@ -217,10 +217,11 @@
       R"({"name":%s,"heard":%s,"reported":%s,"share":%.4f,"clean":%s,)"
       R"("stage":%s,"reported_at":%.3f,"full_since":%.3f,)"
       R"("new_runs":%d,"new_failures":%d,"old_runs":%d,"old_failures":%d})",
-      Quoted(data_center.name), BoolName(data_center.heard),
+      Quoted(data_center.name), BoolName(data_center.reachable),
       BoolName(data_center.reported), r.share, BoolName(r.clean),
-      Quoted(NameOf(r.stage)), EpochSeconds(r.at), EpochSeconds(r.full_since),
-      r.new_runs, r.new_failures, r.old_runs, r.old_failures);
+      Quoted(NameOf(r.stage)), EpochSeconds(r.reported_at),
+      EpochSeconds(r.full_since), r.new_runs, r.new_failures, r.old_runs,
+      r.old_failures);
 }
 
 std::string JsonOf(const AccountRow& row) {
@@ -236,8 +237,8 @@
       R"("explanation":%s,"data_centers":[%s],"unknown":[%s]})",
       Quoted(row.move), Quoted(row.service), Quoted(row.from), Quoted(row.to),
       Quoted(NameOf(row.state)), EpochSeconds(row.start), EpochSeconds(row.by),
-      Seconds(row.left), Quoted(NameOf(row.reason)), Quoted(row.explanation),
-      centers, unknown);
+      Seconds(row.time_left), Quoted(NameOf(row.reason)),
+      Quoted(row.explanation), centers, unknown);
 }
 
 }  // namespace
@@ -265,11 +266,11 @@
   for (const AccountRow& row : account) {
     absl::StrAppendFormat(&text, "%s  %s  %s -> %s  %s", row.move, row.service,
                           row.from, row.to, NameOf(row.state));
-    if (row.left >= Duration(0))
-      absl::StrAppendFormat(&text, "  %d s left\n", Seconds(row.left));
+    if (row.time_left >= Duration(0))
+      absl::StrAppendFormat(&text, "  %d s left\n", Seconds(row.time_left));
     else
       absl::StrAppendFormat(&text, "  by passed %d s ago\n",
-                            -Seconds(row.left));
+                            -Seconds(row.time_left));
     absl::StrAppendFormat(&text, "  %s\n", row.explanation);
     for (const AccountDataCenter& data_center : row.data_centers) {
       const DataCenterReport& r = data_center.report;
@@ -277,7 +278,7 @@
           &text, "  %-14s %5.1f%%  new %d/%d failed  old %d/%d failed%s%s\n",
           data_center.name, 100 * r.share, r.new_failures, r.new_runs,
           r.old_failures, r.old_runs, r.clean ? "  clean" : "",
-          data_center.heard ? "" : "  NOT HEARD");
+          data_center.reachable ? "" : "  NOT HEARD");
     }
     for (const std::string& sentence : row.unknown)
       absl::StrAppendFormat(&text, "  unknown: %s\n", sentence);
--- a/src/moves/effect.cc
+++ b/src/moves/effect.cc
@@ -31,29 +31,29 @@
 }
 
 // The version in effect and, while a move runs, the one that it goes to.
-struct Effect {
+struct EffectiveVersion {
   std::string version;
   const MoveConfig* running = nullptr;
 };
 
-Effect EffectOf(const MovesState& state,
-                const Snapshot& snapshot,
-                std::string_view service) {
-  Effect effect;
+EffectiveVersion EffectiveVersionOf(const MovesState& state,
+                                    const Snapshot& snapshot,
+                                    std::string_view service) {
+  EffectiveVersion effective;
   if (const auto found = snapshot.services.find(std::string(service));
       found != snapshot.services.end())
-    effect.version = found->second.version;
+    effective.version = found->second.version;
   for (const MoveConfig* move : MovesOf(snapshot, service)) {
     const auto verdict = state.verdicts.find(move->id);
     if (verdict == state.verdicts.end()) {
-      effect.running = move;
-      effect.version = move->from;
+      effective.running = move;
+      effective.version = move->from;
       break;
     }
     const Verdict& v = verdict->second;
-    effect.version = v.stage == MoveStage::kDone ? v.to : v.from;
+    effective.version = v.stage == MoveStage::kDone ? v.to : v.from;
   }
-  return effect;
+  return effective;
 }
 
 }  // namespace
@@ -105,7 +105,7 @@
   return true;
 }
 
-bool NoteLogged(MovesState& state, const Verdict& verdict, TimePoint now) {
+bool OnLoggedVerdict(MovesState& state, const Verdict& verdict, TimePoint now) {
   const bool changed = MergeVerdict(state, verdict);
   const auto move = state.moves.find(verdict.move);
   if (move != state.moves.end() &&
@@ -139,37 +139,39 @@
 const MoveConfig* MoveOf(const MovesState& state,
                          const Snapshot& snapshot,
                          std::string_view service) {
-  return EffectOf(state, snapshot, service).running;
+  return EffectiveVersionOf(state, snapshot, service).running;
 }
 
 double ShareOf(const MovesState& state,
                const Snapshot& snapshot,
                std::string_view service,
                std::string_view version) {
-  const Effect effect = EffectOf(state, snapshot, service);
+  const EffectiveVersion effective =
+      EffectiveVersionOf(state, snapshot, service);
   double share = 0;
-  if (effect.running != nullptr) {
-    if (const auto move = state.moves.find(effect.running->id);
+  if (effective.running != nullptr) {
+    if (const auto move = state.moves.find(effective.running->id);
         move != state.moves.end())
       share = move->second.share;
-    if (effect.running->to == version)
+    if (effective.running->to == version)
       return share;
   }
-  return effect.version == version ? 1 - share : 0;
+  return effective.version == version ? 1 - share : 0;
 }
 
 std::string PickVersion(const MovesState& state,
                         const Snapshot& snapshot,
                         std::string_view service,
                         Rng& rng) {
-  const Effect effect = EffectOf(state, snapshot, service);
-  if (effect.running == nullptr)
-    return effect.version;
-  const double share = ShareOf(state, snapshot, service, effect.running->to);
+  const EffectiveVersion effective =
+      EffectiveVersionOf(state, snapshot, service);
+  if (effective.running == nullptr)
+    return effective.version;
+  const double share = ShareOf(state, snapshot, service, effective.running->to);
   if (share <= 0)
-    return effect.version;
-  std::uniform_real_distribution<double> part(0, 1);
-  return part(rng) < share ? effect.running->to : effect.version;
+    return effective.version;
+  std::uniform_real_distribution<double> uniform(0, 1);
+  return uniform(rng) < share ? effective.running->to : effective.version;
 }
 
 }  // namespace teaselspread
--- a/src/moves/evidence.cc
+++ b/src/moves/evidence.cc
@@ -8,51 +8,51 @@
 namespace teaselspread {
 namespace {
 
-constexpr double kFirstBound = 500.0;  // microseconds
+constexpr double kFirstBoundMicros = 500.0;  // microseconds
 constexpr double kBucketsPerDoubling = 2.5;
 // An upstream that vanishes later than this did not crash on start.
-constexpr Duration kEarlyLife = std::chrono::seconds(30);
+constexpr Duration kMaxEarlyExitLifetime = std::chrono::seconds(30);
 
-EvidenceCells* FindOrAdd(EvidenceTable& table, const EvidenceKey& key) {
+EvidenceCounters* FindOrAdd(EvidenceTable& table, const EvidenceKey& key) {
   if (auto found = table.rows.find(key); found != table.rows.end()) {
     found->second.revision = ++table.revision;
-    return &found->second.cells;
+    return &found->second.counters;
   }
   if (table.rows.size() >= kMaxEvidenceRows) {
-    ++table.refused;
+    ++table.refused_rows;
     return nullptr;
   }
-  StoredCells& stored = table.rows[key];
+  StoredCounters& stored = table.rows[key];
   stored.revision = ++table.revision;
-  return &stored.cells;
+  return &stored.counters;
 }
 
-void CountLatency(EvidenceCells& cells, const AnswerSample& sample) {
-  if (sample.cold && cells.cold < kColdAnswers) {
+void CountLatency(EvidenceCounters& cells, const ResponseSample& sample) {
+  if (sample.cold && cells.cold < kMaxColdResponses) {
     ++cells.cold;
     return;
   }
-  ++cells.latency.at(LatencyBucketOf(sample.latency));
+  ++cells.latency.at(LatencyBucketIndex(sample.latency));
 }
 
 template <class T>
-bool Raise(T& mine, T theirs) {
+bool RaiseTo(T& mine, T theirs) {
   if (theirs <= mine)
     return false;
   mine = theirs;
   return true;
 }
 
-bool MergeCells(EvidenceCells& mine, const EvidenceCells& theirs) {
-  bool grew = Raise(mine.runs, theirs.runs);
-  grew |= Raise(mine.failures, theirs.failures);
-  grew |= Raise(mine.shed, theirs.shed);
-  grew |= Raise(mine.crash_suspects, theirs.crash_suspects);
-  grew |= Raise(mine.cold, theirs.cold);
-  grew |= Raise(mine.starts, theirs.starts);
-  grew |= Raise(mine.early_exits, theirs.early_exits);
+bool MergeCounters(EvidenceCounters& mine, const EvidenceCounters& theirs) {
+  bool grew = RaiseTo(mine.runs, theirs.runs);
+  grew |= RaiseTo(mine.failures, theirs.failures);
+  grew |= RaiseTo(mine.shed, theirs.shed);
+  grew |= RaiseTo(mine.crash_suspects, theirs.crash_suspects);
+  grew |= RaiseTo(mine.cold, theirs.cold);
+  grew |= RaiseTo(mine.starts, theirs.starts);
+  grew |= RaiseTo(mine.early_exits, theirs.early_exits);
   for (std::size_t i = 0; i < kLatencyBuckets; ++i)
-    grew |= Raise(mine.latency[i], theirs.latency[i]);
+    grew |= RaiseTo(mine.latency[i], theirs.latency[i]);
   return grew;
 }
 
@@ -64,12 +64,12 @@
 constexpr std::size_t kMaskBytes = (kLatencyBuckets + 7) / 8;
 using BucketMask = std::array<std::uint8_t, kMaskBytes>;
 
-bool Holds(const BucketMask& mask, std::size_t bucket) {
+bool HasBucket(const BucketMask& mask, std::size_t bucket) {
   return ((mask.at(bucket / 8) >> (bucket % 8)) & 1U) != 0;
 }
 
 template <class Archive>
-void SaveLatency(Archive& archive, const EvidenceCells& cells) {
+void SaveLatency(Archive& archive, const EvidenceCounters& cells) {
   BucketMask mask{};
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
     if (cells.latency[i] != 0)
@@ -83,32 +83,32 @@
 }
 
 template <class Archive>
-void LoadLatency(Archive& archive, EvidenceCells& cells) {
+void LoadLatency(Archive& archive, EvidenceCounters& cells) {
   BucketMask mask{};
   archive(cereal::binary_data(mask.data(), mask.size()));
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
-    if (Holds(mask, i))
+    if (HasBucket(mask, i))
       archive(cells.latency[i]);
   }
 }
 
 }  // namespace
 
-std::size_t LatencyBucketOf(Duration latency) {
+std::size_t LatencyBucketIndex(Duration latency) {
   const auto micros = static_cast<double>(latency.count());
-  if (micros <= kFirstBound)
+  if (micros <= kFirstBoundMicros)
     return 0;
   const double index =
-      std::ceil(std::log2(micros / kFirstBound) * kBucketsPerDoubling);
+      std::ceil(std::log2(micros / kFirstBoundMicros) * kBucketsPerDoubling);
   return std::min(static_cast<std::size_t>(index), kLatencyBuckets - 1);
 }
 
 Duration LatencyBound(std::size_t bucket) {
   const double doublings = static_cast<double>(bucket) / kBucketsPerDoubling;
-  return Duration(std::llround(kFirstBound * std::exp2(doublings)));
+  return Duration(std::llround(kFirstBoundMicros * std::exp2(doublings)));
 }
 
-Duration LatencyQuantile(const EvidenceCells& cells, double quantile) {
+Duration LatencyQuantile(const EvidenceCounters& cells, double quantile) {
   std::uint64_t total = 0;
   for (std::uint32_t count : cells.latency)
     total += count;
@@ -124,25 +124,25 @@
   return LatencyBound(kLatencyBuckets - 1);
 }
 
-void RecordAnswer(EvidenceTable& table,
-                  const EvidenceKey& key,
-                  const AnswerSample& sample) {
-  EvidenceCells* cells = FindOrAdd(table, key);
+void RecordResponse(EvidenceTable& table,
+                    const EvidenceKey& key,
+                    const ResponseSample& sample) {
+  EvidenceCounters* cells = FindOrAdd(table, key);
   if (cells == nullptr)
     return;
   switch (sample.outcome) {
-    case AnswerOutcome::kCrashSuspect:
+    case ResponseOutcome::kCrashSuspect:
       ++cells->crash_suspects;
       return;
-    case AnswerOutcome::kShed:
+    case ResponseOutcome::kShed:
       ++cells->shed;
       return;
-    case AnswerOutcome::kFailed:
-    case AnswerOutcome::kTimeout:
+    case ResponseOutcome::kFailed:
+    case ResponseOutcome::kTimeout:
       ++cells->runs;
       ++cells->failures;
       return;
-    case AnswerOutcome::kGood:
+    case ResponseOutcome::kSucceeded:
       ++cells->runs;
       CountLatency(*cells, sample);
       return;
@@ -151,28 +151,28 @@
 
 void RecordStart(EvidenceTable& table, EvidenceKey key) {
   key.route.clear();
-  if (EvidenceCells* cells = FindOrAdd(table, key); cells != nullptr)
+  if (EvidenceCounters* cells = FindOrAdd(table, key); cells != nullptr)
     ++cells->starts;
 }
 
 void RecordExit(EvidenceTable& table, EvidenceKey key, Duration lifetime) {
-  if (lifetime > kEarlyLife)
+  if (lifetime > kMaxEarlyExitLifetime)
     return;
   key.route.clear();
-  if (EvidenceCells* cells = FindOrAdd(table, key); cells != nullptr)
+  if (EvidenceCounters* cells = FindOrAdd(table, key); cells != nullptr)
     ++cells->early_exits;
 }
 
 bool MergeRow(EvidenceTable& table, const EvidenceRow& row) {
   auto found = table.rows.find(row.key);
   if (found == table.rows.end()) {
-    EvidenceCells* cells = FindOrAdd(table, row.key);
+    EvidenceCounters* cells = FindOrAdd(table, row.key);
     if (cells == nullptr)
       return false;
-    *cells = row.cells;
+    *cells = row.counters;
     return true;
   }
-  if (!MergeCells(found->second.cells, row.cells))
+  if (!MergeCounters(found->second.counters, row.counters))
     return false;
   found->second.revision = ++table.revision;
   return true;
@@ -194,16 +194,16 @@
   std::vector<EvidenceRow> rows;
   rows.reserve(changed.size());
   for (const auto& [at, key] : changed)
-    rows.push_back({*key, table.rows.at(*key).cells});
+    rows.push_back({*key, table.rows.at(*key).counters});
   return rows;
 }
 
-EvidenceCells TotalOf(const EvidenceTable& table,
-                      std::string_view move,
-                      std::string_view data_center,
-                      std::string_view version,
-                      std::string_view route) {
-  EvidenceCells total;
+EvidenceCounters TotalOf(const EvidenceTable& table,
+                         std::string_view move,
+                         std::string_view data_center,
+                         std::string_view version,
+                         std::string_view route) {
+  EvidenceCounters total;
   EvidenceKey first;
   first.move = std::string(move);
   for (auto row = table.rows.lower_bound(first);
@@ -211,7 +211,7 @@
     const EvidenceKey& key = row->first;
     if (Matches(data_center, key.data_center) &&
         Matches(version, key.version) && Matches(route, key.route))
-      AddCells(total, row->second.cells);
+      AddCounters(total, row->second.counters);
   }
   return total;
 }
@@ -222,7 +222,7 @@
   });
 }
 
-void AddCells(EvidenceCells& cells, const EvidenceCells& other) {
+void AddCounters(EvidenceCounters& cells, const EvidenceCounters& other) {
   cells.runs += other.runs;
   cells.failures += other.failures;
   cells.shed += other.shed;
@@ -242,7 +242,7 @@
     moves::SaveText(archive, row.key.data_center);
     moves::SaveText(archive, row.key.version);
     moves::SaveText(archive, row.key.route);
-    const EvidenceCells& cells = row.cells;
+    const EvidenceCounters& cells = row.counters;
     archive(cells.runs, cells.failures, cells.shed, cells.crash_suspects,
             cells.cold, cells.starts, cells.early_exits);
     SaveLatency(archive, cells);
@@ -257,7 +257,7 @@
     moves::LoadText(archive, row.key.data_center);
     moves::LoadText(archive, row.key.version);
     moves::LoadText(archive, row.key.route);
-    EvidenceCells& cells = row.cells;
+    EvidenceCounters& cells = row.counters;
     archive(cells.runs, cells.failures, cells.shed, cells.crash_suspects,
             cells.cold, cells.starts, cells.early_exits);
     LoadLatency(archive, cells);
--- a/src/moves/feeds.cc
+++ b/src/moves/feeds.cc
@@ -6,60 +6,64 @@
 namespace {
 
 // Below this rate a data centre cannot judge by its own answers alone.
-constexpr double kLittleTraffic = 5;
-bool IsDoubted(const MoveState& move,
-               const std::string& data_center,
-               TimePoint now) {
-  const auto found = move.doubted_until.find(data_center);
-  return found != move.doubted_until.end() && now < found->second;
+constexpr double kLowTrafficRate = 5;
+bool IsCatchingUp(const MoveState& move,
+                  const std::string& data_center,
+                  TimePoint now) {
+  const auto found = move.catching_up_until.find(data_center);
+  return found != move.catching_up_until.end() && now < found->second;
 }
 
-struct FeedTable {
+struct ScopeTable {
   // By scope and data centre.
-  std::map<std::pair<std::string, std::string>, Feed> feeds;
+  std::map<std::pair<std::string, std::string>, ScopeTotals> totals;
 };
 
-void AddRow(FeedTable& table,
+void AddRow(ScopeTable& table,
             const std::string& scope,
             const EvidenceKey& key,
-            const EvidenceCells& cells,
+            const EvidenceCounters& cells,
             bool fresh,
             bool counted) {
-  Feed& feed = table.feeds[{scope, key.data_center}];
-  feed.scope = scope;
-  feed.data_center = key.data_center;
-  feed.counted = counted;
-  AddCells(fresh ? feed.totals.fresh : feed.totals.old, cells);
+  ScopeTotals& scope_totals = table.totals[{scope, key.data_center}];
+  scope_totals.scope = scope;
+  scope_totals.data_center = key.data_center;
+  scope_totals.counted = counted;
+  AddCounters(
+      fresh ? scope_totals.totals.new_version : scope_totals.totals.old_version,
+      cells);
 }
 
 }  // namespace
 
-void NoteSilences(MoveState& move, const StepInput& in, Duration unheard) {
+void UpdateCatchingUp(MoveState& move,
+                      const StepInput& in,
+                      Duration silence_timeout) {
   for (const std::string& name : in.snapshot.data_centers) {
-    const auto heard = in.capacity.heard.find(name);
-    const bool silent =
-        heard != in.capacity.heard.end() && in.now - heard->second > unheard;
+    const auto contact = in.capacity.last_contact.find(name);
+    const bool silent = contact != in.capacity.last_contact.end() &&
+                        in.now - contact->second > silence_timeout;
     if (silent)
-      move.doubted_until[name] = in.now + unheard;
+      move.catching_up_until[name] = in.now + silence_timeout;
   }
 }
 
-std::vector<Feed> FeedsOf(const MovesState& state,
-                          const MoveState& move,
-                          const StepInput& in) {
-  const bool pooled = move.demand.known && move.demand.rate < kLittleTraffic;
-  FeedTable table;
+std::vector<ScopeTotals> ScopeTotalsOf(const MovesState& state,
+                                       const MoveState& move,
+                                       const StepInput& in) {
+  const bool pooled = move.demand.known && move.demand.rate < kLowTrafficRate;
+  ScopeTable table;
   EvidenceKey first;
   first.move = move.config.id;
   const auto& rows = in.evidence.rows;
   for (auto row = rows.lower_bound(first);
        row != rows.end() && row->first.move == move.config.id; ++row) {
     const EvidenceKey& key = row->first;
-    const EvidenceCells& cells = row->second.cells;
+    const EvidenceCounters& cells = row->second.counters;
     const bool fresh = key.version == move.config.to;
     if (key.route.empty() || (!fresh && key.version != move.config.from))
       continue;
-    const bool counted = pooled && !IsDoubted(move, key.data_center, in.now);
+    const bool counted = pooled && !IsCatchingUp(move, key.data_center, in.now);
     AddRow(table, "everywhere", key, cells, fresh, counted);
     AddRow(table, "everywhere/" + key.route, key, cells, fresh, counted);
     if (key.data_center != state.data_center)
@@ -67,10 +71,10 @@
     AddRow(table, "*", key, cells, fresh, true);
     AddRow(table, key.route, key, cells, fresh, true);
   }
-  std::vector<Feed> feeds;
-  for (auto& [key, feed] : table.feeds)
-    feeds.push_back(std::move(feed));
-  return feeds;
+  std::vector<ScopeTotals> all;
+  for (auto& [key, feed] : table.totals)
+    all.push_back(std::move(feed));
+  return all;
 }
 
 }  // namespace teaselspread::moves
--- a/src/moves/judge.cc
+++ b/src/moves/judge.cc
@@ -14,22 +14,23 @@
 
 // Part of the hold that a score without answers of the old version, or with
 // hardly any bad ones, reaches.
-constexpr double kDoubtOnly = 0.9;
+constexpr double kUnconfirmedCapFraction = 0.9;
 
 // What the score may lead to.
-double ScoreOf(const moves::ScopeScore& found, const JudgeSettings& settings) {
-  const bool enough = found.bad >= settings.least_bad;
-  if (found.controlled && enough)
-    return found.score;
-  return std::min(found.score, settings.hold * kDoubtOnly);
+double CappedScore(const moves::ScopeScore& scored,
+                   const JudgeSettings& settings) {
+  const bool enough = scored.bad_responses >= settings.min_bad_responses;
+  if (scored.controlled && enough)
+    return scored.score;
+  return std::min(scored.score, settings.hold_score * kUnconfirmedCapFraction);
 }
 
 // Answers of the old version wherever the judge looks.
-std::uint64_t OldRuns(const std::vector<Feed>& feeds) {
+std::uint64_t MaxOldRuns(const std::vector<ScopeTotals>& feeds) {
   std::uint64_t runs = 0;
-  for (const Feed& feed : feeds) {
+  for (const ScopeTotals& feed : feeds) {
     if (feed.counted)
-      runs = std::max(runs, feed.totals.old.runs);
+      runs = std::max(runs, feed.totals.old_version.runs);
   }
   return runs;
 }
@@ -40,49 +41,50 @@
                 bool old_serves,
                 TimePoint now) {
   const Duration held = now - state.held_since;
-  if (held >= settings.hold_most)
+  if (held >= settings.max_hold)
     return true;
   const bool confirmed =
-      old_runs >= state.old_runs_at_hold + settings.hold_answers;
-  return held >= settings.hold_least && (confirmed || !old_serves);
+      old_runs >= state.old_runs_at_hold + settings.hold_old_responses;
+  return held >= settings.min_hold && (confirmed || !old_serves);
 }
 
 // A doubt outlives the score that raised it: its purpose is to bring answers
 // of both versions side by side.
-bool InDoubt(JudgeState& state,
-             const JudgeSettings& settings,
-             double score,
-             std::uint64_t old_runs,
-             TimePoint now) {
-  if (score >= settings.suspect) {
-    if (state.doubted_since == TimePoint())
-      state.old_runs_at_doubt = old_runs;
-    state.doubted_since = now;
+bool UpdateSuspicion(JudgeState& state,
+                     const JudgeSettings& settings,
+                     double score,
+                     std::uint64_t old_runs,
+                     TimePoint now) {
+  if (score >= settings.suspect_score) {
+    if (state.suspected_since == TimePoint())
+      state.old_runs_at_suspicion = old_runs;
+    state.suspected_since = now;
     return true;
   }
-  if (state.doubted_since == TimePoint())
+  if (state.suspected_since == TimePoint())
     return false;
-  const Duration age = now - state.doubted_since;
-  const bool answered =
-      old_runs >= state.old_runs_at_doubt + settings.doubt_answers;
-  if (age >= settings.doubt_most || (age >= settings.doubt_least && answered))
-    state.doubted_since = TimePoint();
-  return state.doubted_since != TimePoint();
+  const Duration age = now - state.suspected_since;
+  const bool answered = old_runs >= state.old_runs_at_suspicion +
+                                        settings.suspicion_old_responses;
+  if (age >= settings.max_suspicion ||
+      (age >= settings.min_suspicion && answered))
+    state.suspected_since = TimePoint();
+  return state.suspected_since != TimePoint();
 }
 
-Finding FindingOf(JudgeState& state,
-                  const JudgeSettings& settings,
-                  const Judgement& now_seen,
-                  std::uint64_t old_runs,
-                  bool old_serves,
-                  TimePoint now) {
-  const double score = now_seen.score;
-  const bool doubt = InDoubt(state, settings, score, old_runs, now);
+Finding UpdateFinding(JudgeState& state,
+                      const JudgeSettings& settings,
+                      const Judgement& judgement,
+                      std::uint64_t old_runs,
+                      bool old_serves,
+                      TimePoint now) {
+  const double score = judgement.score;
+  const bool suspected = UpdateSuspicion(state, settings, score, old_runs, now);
   const bool held = state.held_since != TimePoint();
-  if (!held && score >= settings.hold) {
+  if (!held && score >= settings.hold_score) {
     state.held_since = now;
     state.old_runs_at_hold = old_runs;
-    state.confirmed_at_hold = now_seen.confirmed;
+    state.confirmed_score_at_hold = judgement.confirmed_score;
     return Finding::kHeld;
   }
   if (held && !HoldIsOver(state, settings, old_runs, old_serves, now))
@@ -90,37 +92,38 @@
   if (held)
     state.held_since = TimePoint();
   const double confirmed =
-      std::min(state.confirmed_at_hold, now_seen.confirmed);
-  if (held && score >= settings.hold &&
-      confirmed >= settings.hold * settings.confirm)
-    return Finding::kBad;
-  return doubt ? Finding::kSuspect : Finding::kCalm;
+      std::min(state.confirmed_score_at_hold, judgement.confirmed_score);
+  if (held && score >= settings.hold_score &&
+      confirmed >= settings.hold_score * settings.confirm_fraction)
+    return Finding::kFault;
+  return suspected ? Finding::kSuspect : Finding::kNone;
 }
 
-void TakeBounds(JudgeState& state, const MoveBounds& bounds) {
-  if (state.started != TimePoint() &&
+void UpdateBounds(JudgeState& state, const MoveBounds& bounds) {
+  if (state.started_at != TimePoint() &&
       state.bounds.extra_failures == bounds.extra_failures &&
       state.bounds.slowdown == bounds.slowdown)
     return;
   state.bounds = bounds;
   for (std::size_t m = 0; m < kMetrics; ++m)
-    state.tables.at(m) = moves::MakeFaultTable(static_cast<Metric>(m), bounds);
+    state.tables.at(m) =
+        moves::MakeLikelihoodTable(static_cast<Metric>(m), bounds);
 }
 
 // What a restarted node hears first is the whole past in one piece, of which
 // nothing can be said of which answers came at the same time.
-void Observe(JudgeState& state,
-             const JudgeSettings& settings,
-             const std::vector<Feed>& feeds,
-             TimePoint now) {
-  if (state.started == TimePoint())
-    state.started = now;
-  const bool settled = now - state.started >= settings.settle;
-  for (const Feed& feed : feeds) {
-    ScopeJudge& scope = state.scopes[feed.scope];
-    if (scope.seen.empty())
-      scope.opened = now;
-    moves::ObserveFeed(scope, feed, settled && feed.counted);
+void ObserveScopes(JudgeState& state,
+                   const JudgeSettings& settings,
+                   const std::vector<ScopeTotals>& feeds,
+                   TimePoint now) {
+  if (state.started_at == TimePoint())
+    state.started_at = now;
+  const bool settled = now - state.started_at >= settings.settling_time;
+  for (const ScopeTotals& feed : feeds) {
+    ScopeState& scope = state.scopes[feed.scope];
+    if (scope.last_totals.empty())
+      scope.current_since = now;
+    moves::ObserveTotals(scope, feed, settled && feed.counted);
   }
 }
 
@@ -129,40 +132,40 @@
 Judgement StepJudge(JudgeState& state,
                     const JudgeSettings& settings,
                     const MoveBounds& bounds,
-                    const std::vector<Feed>& feeds,
+                    const std::vector<ScopeTotals>& feeds,
                     bool old_serves,
                     TimePoint now) {
   const bool held = state.held_since != TimePoint();
-  TakeBounds(state, bounds);
-  Observe(state, settings, feeds, now);
-  const moves::Rules rules{settings, state.bounds, state.tables};
+  UpdateBounds(state, bounds);
+  ObserveScopes(state, settings, feeds, now);
+  const moves::ScoringContext rules{settings, state.bounds, state.tables};
   Judgement strongest;
   for (auto& [name, scope] : state.scopes) {
-    const moves::ScopeScore found = moves::StepScope(scope, rules, !held, now);
-    const double score = ScoreOf(found, settings);
+    const moves::ScopeScore scored = moves::StepScope(scope, rules, !held, now);
+    const double score = CappedScore(scored, settings);
     if (score <= strongest.score)
       continue;
     strongest.score = score;
-    strongest.confirmed = found.confirmed;
-    strongest.reason = kReasonOf.at(static_cast<std::size_t>(found.metric));
+    strongest.confirmed_score = scored.confirmed_score;
+    strongest.reason = kReasonOf.at(static_cast<std::size_t>(scored.metric));
     strongest.scope = name;
-    strongest.pair = found.pair;
+    strongest.tallies = scored.tallies;
   }
-  strongest.finding =
-      FindingOf(state, settings, strongest, OldRuns(feeds), old_serves, now);
+  strongest.finding = UpdateFinding(state, settings, strongest,
+                                    MaxOldRuns(feeds), old_serves, now);
   // During the hold only the old version answered, so that its answers no
   // longer belong to the same time.
   if (held && state.held_since == TimePoint()) {
     for (auto& [name, scope] : state.scopes)
-      moves::DropOpenStrata(scope, now);
+      moves::DropUnsummedStrata(scope, now);
   }
   return strongest;
 }
 
 bool CrashesOnStart(const JudgeSettings& settings,
-                    const EvidenceCells& fresh,
-                    const EvidenceCells& old) {
-  if (fresh.early_exits < settings.early_exits)
+                    const EvidenceCounters& fresh,
+                    const EvidenceCounters& old) {
+  if (fresh.early_exits < settings.min_early_exits)
     return false;
   return fresh.early_exits * 2 >= fresh.starts &&
          fresh.early_exits > 4ULL * old.early_exits;
--- a/src/moves/ratio_test.h
+++ b/src/moves/ratio_test.h
@@ -7,17 +7,17 @@
 namespace teaselspread::moves {
 
 // The tables of one metric for these bounds.
-[[nodiscard]] FaultTable MakeFaultTable(Metric metric,
-                                        const MoveBounds& bounds);
+[[nodiscard]] LikelihoodTable MakeLikelihoodTable(Metric metric,
+                                                  const MoveBounds& bounds);
 
 // Logarithm of the likelihood ratio of each alternative; zeros without an
 // answer of the new version. `history` is the old version's ratio before the
 // stratum, `shared_weight` the weight of any other ratio, 0..1.
-[[nodiscard]] std::array<double, kAlternatives> LogRatios(
-    const Pair& pair,
+[[nodiscard]] std::array<double, kAlternatives> LogLikelihoodRatios(
+    const VersionTallies& pair,
     double history,
     double shared_weight,
-    const FaultTable& table);
+    const LikelihoodTable& table);
 
 }  // namespace teaselspread::moves
 
--- a/src/moves/reports.h
+++ b/src/moves/reports.h
@@ -8,14 +8,14 @@
 
 // Takes the demand of the own data centre's last report until the node has seen
 // enough itself: a restarted node does not start the ramp again.
-void TakeDemand(const MovesState& state, MoveState& move, TimePoint now);
+void RestoreDemand(const MovesState& state, MoveState& move, TimePoint now);
 
 // Notes since when the share is full.
-void NoteFullShare(MovesState& state, MoveState& move, TimePoint now);
+void UpdateFullShare(MovesState& state, MoveState& move, TimePoint now);
 
 void ReportRunning(MovesState& state,
                    MoveState& move,
-                   const RouteTotals& own,
+                   const VersionTotals& own,
                    TimePoint now,
                    Actions& actions);
 
@@ -27,10 +27,10 @@
 
 // Spreads the verdict again, often while a data centre that is heard does not
 // know it.
-void SpreadAgain(const MovesState& state,
-                 MoveState& move,
-                 const StepInput& in,
-                 Actions& actions);
+void RespreadVerdict(const MovesState& state,
+                     MoveState& move,
+                     const StepInput& in,
+                     Actions& actions);
 
 // Every data centre is heard and had full share and a clean watch.
 [[nodiscard]] bool EveryDataCenterIsClean(const MovesState& state,
--- a/src/moves/schedule.h
+++ b/src/moves/schedule.h
@@ -39,7 +39,7 @@
                                    int old_slots);
 
 // Takes in the totals of both versions of the own data centre.
-void ObserveDemand(Demand& demand, const EvidenceCells& both, TimePoint now);
+void UpdateDemand(Demand& demand, const EvidenceCounters& both, TimePoint now);
 
 }  // namespace teaselspread::moves
 
--- a/src/moves/scope_judge.cc
+++ b/src/moves/scope_judge.cc
@@ -9,13 +9,13 @@
 namespace {
 
 // Answers of the old version without which its median says nothing.
-constexpr std::uint64_t kMedianAnswers = 8;
+constexpr std::uint64_t kMinMedianResponses = 8;
 // Answers by which a version without history is taken to be good.
-constexpr double kPriorAnswers = 50;
+constexpr double kPriorResponses = 50;
 // Fewest answers of the old version beside those of the new one.
-constexpr std::uint64_t kLeastControl = 2;
+constexpr std::uint64_t kMinControlResponses = 2;
 
-std::uint64_t CountOf(const EvidenceCells& cells) {
+std::uint64_t LatencyCount(const EvidenceCounters& cells) {
   std::uint64_t count = 0;
   for (std::uint32_t in_bucket : cells.latency)
     count += in_bucket;
@@ -23,8 +23,9 @@
 }
 
 // What `now` has more than `before`.
-EvidenceCells Growth(const EvidenceCells& now, const EvidenceCells& before) {
-  EvidenceCells grown;
+EvidenceCounters Growth(const EvidenceCounters& now,
+                        const EvidenceCounters& before) {
+  EvidenceCounters grown;
   const auto more = [](auto a, auto b) { return a > b ? a - b : 0; };
   grown.runs = more(now.runs, before.runs);
   grown.failures = more(now.failures, before.failures);
@@ -34,7 +35,7 @@
   return grown;
 }
 
-Tally SlowerThan(const EvidenceCells& cells, std::size_t bucket) {
+Tally TallySlow(const EvidenceCounters& cells, std::size_t bucket) {
   Tally tally;
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
     tally.total += cells.latency[i];
@@ -44,13 +45,13 @@
   return tally;
 }
 
-Tally TallyOf(const EvidenceCells& cells, Metric metric, std::size_t slow) {
+Tally TallyOf(const EvidenceCounters& cells, Metric metric, std::size_t slow) {
   switch (metric) {
     case Metric::kFailures:
       return {static_cast<double>(cells.runs),
               static_cast<double>(cells.failures)};
     case Metric::kLatency:
-      return SlowerThan(cells, slow);
+      return TallySlow(cells, slow);
     default:
       return {static_cast<double>(cells.runs + cells.shed),
               static_cast<double>(cells.shed)};
@@ -59,30 +60,31 @@
 
 // Answers in later buckets are slow; none is while the old version's median is
 // unknown.
-std::size_t SlowBucket(const ScopeJudge& scope, double slowdown) {
-  if (CountOf(scope.history) < kMedianAnswers)
+std::size_t SlowBucket(const ScopeState& scope, double slowdown) {
+  if (LatencyCount(scope.history) < kMinMedianResponses)
     return kLatencyBuckets;
   const Duration median = LatencyQuantile(scope.history, 0.5);
   const double bound = static_cast<double>(median.count()) * slowdown;
-  return LatencyBucketOf(Duration(std::llround(bound)));
+  return LatencyBucketIndex(Duration(std::llround(bound)));
 }
 
 struct StratumScore {
-  std::array<double, kAlternatives> added{};
-  Pair pair;
+  std::array<double, kAlternatives> scores{};
+  VersionTallies tallies;
 };
 
-StratumScore ScoreStratum(const ScopeJudge& scope,
-                          const RouteTotals& stratum,
+StratumScore ScoreStratum(const ScopeState& scope,
+                          const VersionTotals& stratum,
                           Metric metric,
                           std::size_t slow,
-                          const Rules& rules) {
+                          const ScoringContext& rules) {
   const Tally past = TallyOf(scope.history, metric, slow);
-  const double history = (past.bad + 0.5) / (past.total + kPriorAnswers);
+  const double history = (past.bad + 0.5) / (past.total + kPriorResponses);
   StratumScore score;
-  score.pair = {TallyOf(stratum.fresh, metric, slow),
-                TallyOf(stratum.old, metric, slow)};
-  score.added = LogRatios(score.pair, history, rules.settings.shared_weight,
+  score.tallies = {TallyOf(stratum.new_version, metric, slow),
+                   TallyOf(stratum.old_version, metric, slow)};
+  score.scores =
+      LogLikelihoodRatios(score.tallies, history, rules.settings.shared_weight,
                           rules.tables.at(static_cast<std::size_t>(metric)));
   return score;
 }
@@ -91,72 +93,77 @@
   return *std::max_element(scores.begin(), scores.end()) > bound;
 }
 
-RouteTotals Joined(const RouteTotals& a, const RouteTotals& b) {
-  RouteTotals joined = a;
-  AddCells(joined.fresh, b.fresh);
-  AddCells(joined.old, b.old);
-  return joined;
+VersionTotals SumOf(const VersionTotals& a, const VersionTotals& b) {
+  VersionTotals sum = a;
+  AddCounters(sum.new_version, b.new_version);
+  AddCounters(sum.old_version, b.old_version);
+  return sum;
 }
 
-bool IsDue(const ScopeJudge& scope,
-           const JudgeSettings& settings,
-           TimePoint now) {
-  const Duration age = now - scope.opened;
-  if (age >= settings.stratum_most)
+bool IsStratumDue(const ScopeState& scope,
+                  const JudgeSettings& settings,
+                  TimePoint now) {
+  const Duration age = now - scope.current_since;
+  if (age >= settings.max_stratum_age)
     return true;
-  if (age < settings.stratum_least)
+  if (age < settings.min_stratum_age)
     return false;
-  const std::uint64_t old = scope.open.old.runs;
-  if (old >= settings.stratum_old_answers)
+  const std::uint64_t old_runs = scope.current_totals.old_version.runs;
+  if (old_runs >= settings.stratum_old_responses)
     return true;
-  return scope.open.fresh.runs >= settings.stratum_answers &&
-         (old >= settings.stratum_answers || age >= settings.control_wait);
+  return scope.current_totals.new_version.runs >= settings.stratum_responses &&
+         (old_runs >= settings.stratum_responses ||
+          age >= settings.max_control_wait);
 }
 
 // The old version answered enough beside the new one for a comparison.
-bool IsControlled(const RouteTotals& stratum, const JudgeSettings& settings) {
-  const std::uint64_t wanted = std::max(kLeastControl, stratum.fresh.runs / 4);
-  return stratum.old.runs + stratum.old.shed >=
-         std::min(settings.stratum_answers, wanted);
+bool IsControlled(const VersionTotals& stratum, const JudgeSettings& settings) {
+  const std::uint64_t min_runs =
+      std::max(kMinControlResponses, stratum.new_version.runs / 4);
+  return stratum.old_version.runs + stratum.old_version.shed >=
+         std::min(settings.stratum_responses, min_runs);
 }
 
 // What `last` adds for good, now that the stratum after it is known.
-double Confirmed(double last, double joined) {
+double ConfirmedScore(double last, double joined) {
   return last <= 0 ? last : std::max(0.0, std::min(last, joined));
 }
 
-void Close(ScopeJudge& scope,
-           const ScoreTable& open,
-           const ScoreTable& joined,
-           const std::array<double, kMetrics>& open_bad,
-           TimePoint now) {
+void CloseStratum(ScopeState& scope,
+                  const ScoreTable& open,
+                  const ScoreTable& joined,
+                  const std::array<double, kMetrics>& open_bad,
+                  TimePoint now) {
   for (std::size_t m = 0; m < kMetrics; ++m) {
     for (std::size_t i = 0; i < kAlternatives; ++i) {
-      double& sum = scope.sums.at(m).at(i);
-      sum += Confirmed(scope.last_added.at(m).at(i), joined.at(m).at(i));
+      double& sum = scope.score_sums.at(m).at(i);
+      sum +=
+          ConfirmedScore(scope.previous_scores.at(m).at(i), joined.at(m).at(i));
       sum = std::max(0.0, sum);
     }
-    const bool carries = AnyAbove(scope.sums.at(m), 0);
-    scope.bad.at(m) = carries ? scope.bad.at(m) + scope.last_bad.at(m) : 0;
+    const bool has_positive_score = AnyAbove(scope.score_sums.at(m), 0);
+    scope.summed_bad.at(m) =
+        has_positive_score ? scope.summed_bad.at(m) + scope.previous_bad.at(m)
+                           : 0;
   }
-  scope.last_bad = open_bad;
-  scope.last_added = open;
-  AddCells(scope.history, scope.last.old);
-  scope.last = scope.open;
-  scope.open = {};
-  scope.opened = now;
+  scope.previous_bad = open_bad;
+  scope.previous_scores = open;
+  AddCounters(scope.history, scope.previous.old_version);
+  scope.previous = scope.current_totals;
+  scope.current_totals = {};
+  scope.current_since = now;
 }
 
 // Without answers of the old version a stratum can raise a doubt, but not be
 // carried on: once the old one answers again, the fault may be over for both.
-void ForgetFaults(ScopeJudge& scope) {
-  for (auto& metric : scope.last_added) {
-    for (double& added : metric)
-      added = std::min(added, 0.0);
+void DropPositiveScores(ScopeState& scope) {
+  for (auto& metric : scope.previous_scores) {
+    for (double& score : metric)
+      score = std::min(score, 0.0);
   }
 }
 
-double ScoreOf(double sum, double last, double open, double joined) {
+double CombinedScore(double sum, double last, double open, double joined) {
   if (last <= 0)
     return std::max(0.0, sum + last) + open;
   return sum + std::min(last + open, joined);
@@ -164,70 +171,72 @@
 
 }  // namespace
 
-void ObserveFeed(ScopeJudge& scope, const Feed& feed, bool counted) {
-  RouteTotals& seen = scope.seen[feed.data_center];
-  const RouteTotals grown = {Growth(feed.totals.fresh, seen.fresh),
-                             Growth(feed.totals.old, seen.old)};
+void ObserveTotals(ScopeState& scope, const ScopeTotals& feed, bool counted) {
+  VersionTotals& seen = scope.last_totals[feed.data_center];
+  const VersionTotals grown = {
+      Growth(feed.totals.new_version, seen.new_version),
+      Growth(feed.totals.old_version, seen.old_version)};
   seen = feed.totals;
   if (counted)
-    scope.open = Joined(scope.open, grown);
+    scope.current_totals = SumOf(scope.current_totals, grown);
   else
-    AddCells(scope.history, grown.old);
+    AddCounters(scope.history, grown.old_version);
 }
 
-void DropOpenStrata(ScopeJudge& scope, TimePoint now) {
-  AddCells(scope.history, scope.last.old);
-  AddCells(scope.history, scope.open.old);
-  scope.last = {};
-  scope.open = {};
-  scope.last_added = {};
-  scope.last_bad = {};
-  scope.opened = now;
+void DropUnsummedStrata(ScopeState& scope, TimePoint now) {
+  AddCounters(scope.history, scope.previous.old_version);
+  AddCounters(scope.history, scope.current_totals.old_version);
+  scope.previous = {};
+  scope.current_totals = {};
+  scope.previous_scores = {};
+  scope.previous_bad = {};
+  scope.current_since = now;
 }
 
-ScopeScore StepScope(ScopeJudge& scope,
-                     const Rules& rules,
+ScopeScore StepScope(ScopeState& scope,
+                     const ScoringContext& rules,
                      bool may_close,
                      TimePoint now) {
   const std::size_t slow = SlowBucket(scope, rules.bounds.slowdown);
-  const RouteTotals both = Joined(scope.last, scope.open);
+  const VersionTotals combined = SumOf(scope.previous, scope.current_totals);
   ScoreTable open{};
-  ScoreTable joined{};
-  std::array<double, kMetrics> open_bad{};
+  ScoreTable combined_scores{};
+  std::array<double, kMetrics> current_bad{};
   ScopeScore strongest;
   for (std::size_t m = 0; m < kMetrics; ++m) {
     const auto metric = static_cast<Metric>(m);
-    const StratumScore now_open =
-        ScoreStratum(scope, scope.open, metric, slow, rules);
-    open.at(m) = now_open.added;
-    open_bad.at(m) = now_open.pair.fresh.bad;
+    const StratumScore current_stratum =
+        ScoreStratum(scope, scope.current_totals, metric, slow, rules);
+    open.at(m) = current_stratum.scores;
+    current_bad.at(m) = current_stratum.tallies.new_version.bad;
     // Only what speaks against the new version needs to be confirmed.
-    StratumScore now_joined = now_open;
-    if (AnyAbove(scope.last_added.at(m), 0) ||
-        AnyAbove(now_open.added, rules.settings.suspect))
-      now_joined = ScoreStratum(scope, both, metric, slow, rules);
-    joined.at(m) = now_joined.added;
+    StratumScore combined_stratum = current_stratum;
+    if (AnyAbove(scope.previous_scores.at(m), 0) ||
+        AnyAbove(current_stratum.scores, rules.settings.suspect_score))
+      combined_stratum = ScoreStratum(scope, combined, metric, slow, rules);
+    combined_scores.at(m) = combined_stratum.scores;
     for (std::size_t i = 0; i < kAlternatives; ++i) {
-      const double score =
-          ScoreOf(scope.sums.at(m).at(i), scope.last_added.at(m).at(i),
-                  open.at(m).at(i), joined.at(m).at(i));
+      const double score = CombinedScore(
+          scope.score_sums.at(m).at(i), scope.previous_scores.at(m).at(i),
+          open.at(m).at(i), combined_scores.at(m).at(i));
       if (score <= strongest.score)
         continue;
-      const double confirmed =
-          scope.sums.at(m).at(i) + std::min(score, joined.at(m).at(i));
+      const double confirmed = scope.score_sums.at(m).at(i) +
+                               std::min(score, combined_scores.at(m).at(i));
       const double bad =
-          scope.bad.at(m) + scope.last_bad.at(m) + open_bad.at(m);
-      strongest = {score, confirmed, metric, now_joined.pair, true, bad};
+          scope.summed_bad.at(m) + scope.previous_bad.at(m) + current_bad.at(m);
+      strongest = {score, confirmed, metric, combined_stratum.tallies,
+                   true,  bad};
     }
   }
-  strongest.controlled = IsControlled(scope.open, rules.settings);
-  const bool doubt = strongest.score >= rules.settings.suspect;
-  const bool drop = doubt && !strongest.controlled;
-  if (!may_close || !(drop || IsDue(scope, rules.settings, now)))
+  strongest.controlled = IsControlled(scope.current_totals, rules.settings);
+  const bool suspected = strongest.score >= rules.settings.suspect_score;
+  const bool close_early = suspected && !strongest.controlled;
+  if (!may_close || !(close_early || IsStratumDue(scope, rules.settings, now)))
     return strongest;
-  Close(scope, open, joined, open_bad, now);
+  CloseStratum(scope, open, combined_scores, current_bad, now);
   if (!strongest.controlled)
-    ForgetFaults(scope);
+    DropPositiveScores(scope);
   return strongest;
 }
 
--- a/src/moves/scope_judge.h
+++ b/src/moves/scope_judge.h
@@ -7,35 +7,35 @@
 namespace teaselspread::moves {
 
 // What scores are worked out with.
-struct Rules {
+struct ScoringContext {
   const JudgeSettings& settings;
   const MoveBounds& bounds;
-  const std::array<FaultTable, kMetrics>& tables;
+  const std::array<LikelihoodTable, kMetrics>& tables;
 };
 
 // The strongest test of a scope.
 struct ScopeScore {
   double score = 0;
   // The same together with the stratum before.
-  double confirmed = 0;
+  double confirmed_score = 0;
   Metric metric = Metric::kFailures;
-  Pair pair;
+  VersionTallies tallies;
   // The old version answered beside the new one.
   bool controlled = true;
   // Bad answers of the new version behind the score.
-  double bad = 0;
+  double bad_responses = 0;
 };
 
 // Takes in the growth since the last feed of this data centre; as history only
 // unless `counted`.
-void ObserveFeed(ScopeJudge& scope, const Feed& feed, bool counted);
+void ObserveTotals(ScopeState& scope, const ScopeTotals& feed, bool counted);
 
 // Forgets the strata that are not summed up yet.
-void DropOpenStrata(ScopeJudge& scope, TimePoint now);
+void DropUnsummedStrata(ScopeState& scope, TimePoint now);
 
 // Scores the scope, and closes its stratum when that is due and `may_close`.
-[[nodiscard]] ScopeScore StepScope(ScopeJudge& scope,
-                                   const Rules& rules,
+[[nodiscard]] ScopeScore StepScope(ScopeState& scope,
+                                   const ScoringContext& rules,
                                    bool may_close,
                                    TimePoint now);
 
--- a/src/moves/step.cc
+++ b/src/moves/step.cc
@@ -11,16 +11,16 @@
 namespace {
 
 using moves::Actions;
-using moves::FeedsOf;
-using moves::NoteSilences;
+using moves::ScopeTotalsOf;
 using moves::StageOf;
 using moves::StepInput;
+using moves::UpdateCatchingUp;
 using moves::WaitsForEarlier;
 
 // Verdicts kept for moves that the configuration no longer names.
 constexpr std::size_t kMaxVerdicts = 512;
 // Demand that is taken before any was seen: asks for the most evidence.
-constexpr double kUnknownRate = 1000;
+constexpr double kAssumedUnknownRate = 1000;
 
 int SlotsOf(const MoveCapacity& capacity,
             const std::string& service,
@@ -29,14 +29,14 @@
   return found == capacity.ready_slots.end() ? 0 : found->second;
 }
 
-void TakeConfig(MoveState& move, const MoveConfig& config) {
+void UpdateConfig(MoveState& move, const MoveConfig& config) {
   if (move.config.id.empty()) {
     move.config = config;
     return;
   }
   const std::string from = move.config.from;
   const std::string to = move.config.to;
-  move.renamed = config.from != from || config.to != to;
+  move.versions_changed = config.from != from || config.to != to;
   move.config = config;
   move.config.from = from;
   move.config.to = to;
@@ -54,66 +54,68 @@
   verdict.to = move.to;
   verdict.stage = stage;
   verdict.reason = reason;
-  verdict.at = now;
+  verdict.decided_at = now;
   verdict.data_center = state.data_center;
   return verdict;
 }
 
-void Give(MovesState& state, Verdict verdict, Actions& actions) {
+void AdoptVerdict(MovesState& state, Verdict verdict, Actions& actions) {
   if (MergeVerdict(state, verdict))
     actions.push_back({MoveActionKind::kSpreadVerdict, std::move(verdict), {}});
 }
 
-void TakeBack(MovesState& state,
+void RollBack(MovesState& state,
               const MoveState& move,
               VerdictReason reason,
               TimePoint now,
               Actions& actions) {
   Verdict verdict =
-      MakeVerdict(state, move.config, MoveStage::kTakenBack, reason, now);
-  const Judgement& seen = move.judgement;
-  verdict.route = seen.scope;
+      MakeVerdict(state, move.config, MoveStage::kRolledBack, reason, now);
+  const Judgement& judgement = move.judgement;
+  verdict.route = judgement.scope;
   const auto ratio = [](const Tally& tally) {
     return tally.total > 0 ? tally.bad / tally.total : 0;
   };
-  verdict.new_ratio = ratio(seen.pair.fresh);
-  verdict.old_ratio = ratio(seen.pair.old);
-  verdict.new_runs = static_cast<std::uint64_t>(seen.pair.fresh.total);
-  verdict.old_runs = static_cast<std::uint64_t>(seen.pair.old.total);
-  Give(state, std::move(verdict), actions);
+  verdict.new_ratio = ratio(judgement.tallies.new_version);
+  verdict.old_ratio = ratio(judgement.tallies.old_version);
+  verdict.new_runs =
+      static_cast<std::uint64_t>(judgement.tallies.new_version.total);
+  verdict.old_runs =
+      static_cast<std::uint64_t>(judgement.tallies.old_version.total);
+  AdoptVerdict(state, std::move(verdict), actions);
 }
 
-struct Limited {
+struct LimitedShare {
   double share = 1;
   ShareLimit limit = ShareLimit::kNone;
 };
 
-void LimitTo(Limited& limited, double share, ShareLimit limit) {
+void LimitTo(LimitedShare& limited, double share, ShareLimit limit) {
   if (share < limited.share)
     limited = {share, limit};
 }
 
-Limited ShareNow(const MovesSettings& settings,
-                 MoveState& move,
-                 const StepInput& in,
-                 const EvidenceCells& fresh) {
+LimitedShare ComputeShare(const MovesSettings& settings,
+                          MoveState& move,
+                          const StepInput& in,
+                          const EvidenceCounters& fresh) {
   const MoveConfig& config = move.config;
   if (in.now < config.start)
     return {0, ShareLimit::kNotStarted};
   Demand demand = move.demand;
   if (!demand.known)
-    demand.rate = std::max(demand.rate, kUnknownRate);
+    demand.rate = std::max(demand.rate, kAssumedUnknownRate);
   const moves::Ramp ramp = moves::RampOf(settings, config, demand.rate);
-  const bool calm = move.judgement.finding == Finding::kCalm;
+  const bool no_fault = move.judgement.finding == Finding::kNone;
   const std::uint64_t good = fresh.runs - std::min(fresh.runs, fresh.failures);
-  if (calm) {
+  if (no_fault) {
     move.evidence_share =
         std::max(move.evidence_share,
                  moves::EvidenceShare(settings, ramp, demand, good));
   }
   const int old_slots = SlotsOf(in.capacity, config.service, config.from);
   const int new_slots = SlotsOf(in.capacity, config.service, config.to);
-  Limited limited;
+  LimitedShare limited;
   LimitTo(limited, moves::ScheduleShare(ramp, config.start, in.now),
           ShareLimit::kSchedule);
   LimitTo(limited, move.evidence_share, ShareLimit::kEvidence);
@@ -121,7 +123,7 @@
           ShareLimit::kCapacity);
   // Without the old version beside it nothing tells a fault of the new one
   // from a shared fault, so a doubt at full share asks for answers of both.
-  if (!calm && old_slots > 0)
+  if (!no_fault && old_slots > 0)
     LimitTo(limited, 0.5, ShareLimit::kSuspicion);
   if (move.judgement.finding == Finding::kHeld && old_slots > 0)
     LimitTo(limited, 0, ShareLimit::kHold);
@@ -137,9 +139,9 @@
     return;
   const MovesSettings& settings = state.settings;
   const bool logged = move.logged_at != TimePoint() &&
-                      now - move.logged_at < settings.append_again;
+                      now - move.logged_at < settings.reappend_after;
   if (logged || (move.appended_at != TimePoint() &&
-                 now - move.appended_at < settings.append_every))
+                 now - move.appended_at < settings.append_interval))
     return;
   move.appended_at = now;
   actions.push_back({MoveActionKind::kAppendVerdict, found->second, {}});
@@ -150,46 +152,50 @@
                  const StepInput& in,
                  Actions& actions) {
   const MoveConfig& config = move.config;
-  RouteTotals own;
-  own.fresh = TotalOf(in.evidence, config.id, state.data_center, config.to, "");
-  own.old = TotalOf(in.evidence, config.id, state.data_center, config.from, "");
-  EvidenceCells both = own.fresh;
-  AddCells(both, own.old);
-  moves::ObserveDemand(move.demand, both, in.now);
-  moves::TakeDemand(state, move, in.now);
+  VersionTotals own;
+  own.new_version =
+      TotalOf(in.evidence, config.id, state.data_center, config.to, "");
+  own.old_version =
+      TotalOf(in.evidence, config.id, state.data_center, config.from, "");
+  EvidenceCounters both = own.new_version;
+  AddCounters(both, own.old_version);
+  moves::UpdateDemand(move.demand, both, in.now);
+  moves::RestoreDemand(state, move, in.now);
   const bool old_serves = SlotsOf(in.capacity, config.service, config.from) > 0;
-  NoteSilences(move, in, state.settings.unheard_after);
-  move.judgement = StepJudge(move.judge, state.settings.judge, config.bounds,
-                             FeedsOf(state, move, in), old_serves, in.now);
-  if (move.judgement.finding == Finding::kBad)
-    TakeBack(state, move, move.judgement.reason, in.now, actions);
-  else if (CrashesOnStart(state.settings.judge, own.fresh, own.old))
-    TakeBack(state, move, VerdictReason::kCrashOnStart, in.now, actions);
-  Limited limited{0, ShareLimit::kEarlierMove};
+  UpdateCatchingUp(move, in, state.settings.silence_timeout);
+  move.judgement =
+      StepJudge(move.judge, state.settings.judge, config.bounds,
+                ScopeTotalsOf(state, move, in), old_serves, in.now);
+  if (move.judgement.finding == Finding::kFault)
+    RollBack(state, move, move.judgement.reason, in.now, actions);
+  else if (CrashesOnStart(state.settings.judge, own.new_version,
+                          own.old_version))
+    RollBack(state, move, VerdictReason::kCrashOnStart, in.now, actions);
+  LimitedShare limited{0, ShareLimit::kEarlierMove};
   if (!WaitsForEarlier(state, in.snapshot, config))
-    limited = ShareNow(state.settings, move, in, own.fresh);
+    limited = ComputeShare(state.settings, move, in, own.new_version);
   move.share = limited.share;
   move.limit = limited.limit;
-  moves::NoteFullShare(state, move, in.now);
+  moves::UpdateFullShare(state, move, in.now);
   moves::ReportRunning(state, move, own, in.now, actions);
   if (moves::EveryDataCenterIsClean(state, move, in)) {
-    Give(state,
-         MakeVerdict(state, config, MoveStage::kDone,
-                     VerdictReason::kWatchClean, in.now),
-         actions);
+    AdoptVerdict(state,
+                 MakeVerdict(state, config, MoveStage::kDone,
+                             VerdictReason::kWatchClean, in.now),
+                 actions);
   }
 }
 
-void StepOne(MovesState& state,
-             MoveState& move,
-             const StepInput& in,
-             Actions& actions) {
+void StepMove(MovesState& state,
+              MoveState& move,
+              const StepInput& in,
+              Actions& actions) {
   if (move.config.withdrawn &&
-      StageOf(state, move.config.id) != MoveStage::kTakenBack) {
-    Give(state,
-         MakeVerdict(state, move.config, MoveStage::kTakenBack,
-                     VerdictReason::kWithdrawn, in.now),
-         actions);
+      StageOf(state, move.config.id) != MoveStage::kRolledBack) {
+    AdoptVerdict(state,
+                 MakeVerdict(state, move.config, MoveStage::kRolledBack,
+                             VerdictReason::kWithdrawn, in.now),
+                 actions);
   }
   move.stage = StageOf(state, move.config.id);
   if (move.stage == MoveStage::kRunning)
@@ -199,14 +205,14 @@
     move.share = move.stage == MoveStage::kDone ? 1 : 0;
     move.limit = ShareLimit::kNone;
     moves::ReportEnded(state, move, in.now, actions);
-    moves::SpreadAgain(state, move, in, actions);
+    moves::RespreadVerdict(state, move, in, actions);
   }
   AppendIfDue(state, move, in.now, actions);
 }
 
 // Forgets moves that the configuration no longer names. Their verdicts stay as
 // long as there is room, so that an id that comes back does not start again.
-void Forget(MovesState& state, const Snapshot& snapshot) {
+void ForgetRemovedMoves(MovesState& state, const Snapshot& snapshot) {
   const auto gone = [&snapshot](const std::string& move) {
     return snapshot.moves.count(move) == 0;
   };
@@ -227,12 +233,12 @@
                                   const MoveCapacity& capacity,
                                   TimePoint now) {
   Actions actions;
-  Forget(state, snapshot);
+  ForgetRemovedMoves(state, snapshot);
   const StepInput in{snapshot, evidence, capacity, now};
   for (const auto& [id, config] : snapshot.moves) {
     MoveState& move = state.moves[id];
-    TakeConfig(move, config);
-    StepOne(state, move, in, actions);
+    UpdateConfig(move, config);
+    StepMove(state, move, in, actions);
   }
   return actions;
 }
--- a/src/moves/verdict.cc
+++ b/src/moves/verdict.cc
@@ -23,13 +23,13 @@
                     "shedding", "crash-on-start", "withdrawn"};
 
 auto OrderOf(const Verdict& v) {
-  return std::tie(v.at, v.data_center, v.route, v.reason, v.new_runs,
+  return std::tie(v.decided_at, v.data_center, v.route, v.reason, v.new_runs,
                   v.old_runs, v.new_ratio, v.old_ratio);
 }
 
 auto OrderOf(const DataCenterReport& r) {
-  return std::tie(r.at, r.share, r.rate, r.new_runs, r.new_failures, r.old_runs,
-                  r.old_failures, r.full_since);
+  return std::tie(r.reported_at, r.share, r.rate, r.new_runs, r.new_failures,
+                  r.old_runs, r.old_failures, r.full_since);
 }
 
 template <class T>
@@ -77,7 +77,7 @@
     SaveText(archive, v.from);
     SaveText(archive, v.to);
     archive(static_cast<std::uint8_t>(v.stage),
-            static_cast<std::uint8_t>(v.reason), Ticks(v.at));
+            static_cast<std::uint8_t>(v.reason), Ticks(v.decided_at));
     SaveText(archive, v.data_center);
     SaveText(archive, v.route);
     archive(v.new_ratio, v.old_ratio, v.new_runs, v.old_runs);
@@ -97,8 +97,8 @@
     LoadText(archive, v.data_center);
     LoadText(archive, v.route);
     archive(v.new_ratio, v.old_ratio, v.new_runs, v.old_runs);
-    v.at = FromTicks(at);
-    return LoadEnum(stage, MoveStage::kTakenBack, v.stage) &&
+    v.decided_at = FromTicks(at);
+    return LoadEnum(stage, MoveStage::kRolledBack, v.stage) &&
            LoadEnum(reason, VerdictReason::kWithdrawn, v.reason);
   });
 }
@@ -107,7 +107,7 @@
   return moves::Encode([&r](auto& archive) {
     SaveText(archive, r.move);
     SaveText(archive, r.data_center);
-    archive(Ticks(r.at), r.share, r.rate, Ticks(r.full_since), r.clean,
+    archive(Ticks(r.reported_at), r.share, r.rate, Ticks(r.full_since), r.clean,
             static_cast<std::uint8_t>(r.stage));
     archive(r.new_runs, r.new_failures, r.old_runs, r.old_failures);
   });
@@ -123,9 +123,9 @@
         LoadText(archive, r.data_center);
         archive(at, r.share, r.rate, full_since, r.clean, stage);
         archive(r.new_runs, r.new_failures, r.old_runs, r.old_failures);
-        r.at = FromTicks(at);
+        r.reported_at = FromTicks(at);
         r.full_since = FromTicks(full_since);
-        return LoadEnum(stage, MoveStage::kTakenBack, r.stage);
+        return LoadEnum(stage, MoveStage::kRolledBack, r.stage);
       });
 }
 
--- a/src/moves/version_trial.cc
+++ b/src/moves/version_trial.cc
@@ -10,10 +10,10 @@
 
 constexpr std::int64_t kMicrosPerMilli = 1000;
 // A hung request counts this long at most: it says "slow", not how slow.
-constexpr std::int64_t kMostMillis = 10000;
+constexpr std::int64_t kMaxTimedMillis = 10000;
 
-constexpr std::array<std::string_view, 3> kNames = {"running", "done",
-                                                    "taken-back"};
+constexpr std::array<std::string_view, 3> kProgressNames = {"running", "done",
+                                                            "taken-back"};
 
 // Sums over all nodes.
 struct Sums {
@@ -24,12 +24,12 @@
   double sum_ms = 0;
 };
 
-void Add(Sums& sums, const TrialCell& cell) {
+void Add(Sums& sums, const TrialCounters& cell) {
   sums.runs += cell.runs;
   sums.bad += cell.bad;
   sums.slow += cell.slow;
   sums.timed += cell.timed;
-  sums.sum_ms += cell.sum_ms;
+  sums.sum_ms += cell.total_ms;
 }
 
 void Add(Sums& sums, const Sums& more) {
@@ -43,176 +43,179 @@
 struct RouteSums {
   Sums old;
   // By upstream of the new version.
-  std::map<std::string_view, Sums> fresh;
+  std::map<std::string_view, Sums> new_by_upstream;
 };
 
-using Table = std::map<std::string_view, RouteSums>;
+using RouteTable = std::map<std::string_view, RouteSums>;
 
-void AddCell(Table& table, const TrialCell& cell) {
-  RouteSums& route = table[cell.route];
-  if (cell.fresh)
-    Add(route.fresh[cell.instance], cell);
+void AddToTable(RouteTable& table, const TrialCounters& counters) {
+  RouteSums& route = table[counters.route];
+  if (counters.of_new_version)
+    Add(route.new_by_upstream[counters.instance], counters);
   else
-    Add(route.old, cell);
+    Add(route.old, counters);
 }
 
-Table TableOf(const VersionTrial& trial) {
-  Table table;
+RouteTable RouteTableOf(const VersionTrial& trial) {
+  RouteTable table;
   for (const auto& [key, cell] : trial.own)
-    AddCell(table, cell);
+    AddToTable(table, cell);
   for (const auto& [node, note] : trial.peers) {
-    for (const TrialCell& cell : note.cells)
-      AddCell(table, cell);
+    for (const TrialCounters& cell : note.counters)
+      AddToTable(table, cell);
   }
-  for (const TrialCell& cell : trial.earlier)
-    AddCell(table, cell);
+  for (const TrialCounters& cell : trial.earlier_counters)
+    AddToTable(table, cell);
   return table;
 }
 
-double RatioOf(double part, double whole) {
-  return whole > 0 ? part / whole : 0;
+double RatioOf(double numerator, double denominator) {
+  return denominator > 0 ? numerator / denominator : 0;
 }
 
 bool FailsMore(const TrialSettings& settings,
                const Sums& fresh,
                const Sums& old) {
   const double allowed =
-      std::min(1.0, RatioOf(old.bad, old.runs) + settings.extra_bad);
+      std::min(1.0, RatioOf(old.bad, old.runs) + settings.max_extra_bad_ratio);
   const double expected = fresh.runs * allowed;
   const double deviation = std::sqrt(expected * (1 - allowed));
-  return fresh.bad >= settings.least_bad &&
-         fresh.bad > expected + settings.deviations * deviation;
+  return fresh.bad >= settings.min_bad &&
+         fresh.bad > expected + settings.min_deviations * deviation;
 }
 
 bool IsSlower(const TrialSettings& settings,
               const Sums& fresh,
               const Sums& old) {
-  if (fresh.timed < settings.least_timed || old.timed < settings.least_timed)
+  if (fresh.timed < settings.min_timed || old.timed < settings.min_timed)
     return false;
   const double old_mean = RatioOf(old.sum_ms, old.timed);
   return RatioOf(fresh.sum_ms, fresh.timed) >
-         old_mean * settings.slowdown + settings.slowdown_ms;
+         old_mean * settings.max_slowdown + settings.max_slowdown_ms;
 }
 
 bool IsSlowerTogether(const TrialSettings& settings, const RouteSums& route) {
   Sums fresh;
-  for (const auto& [instance, sums] : route.fresh)
+  for (const auto& [instance, sums] : route.new_by_upstream)
     Add(fresh, sums);
-  if (fresh.timed < settings.least_timed_together ||
-      route.old.timed < settings.least_timed_together)
+  if (fresh.timed < settings.min_timed_together ||
+      route.old.timed < settings.min_timed_together)
     return false;
   const double old_mean = RatioOf(route.old.sum_ms, route.old.timed);
   return RatioOf(fresh.sum_ms, fresh.timed) >
-         std::max(old_mean * settings.slowdown_together,
-                  old_mean + settings.slowdown_ms);
+         std::max(old_mean * settings.max_slowdown_together,
+                  old_mean + settings.max_slowdown_ms);
 }
 
-bool IsSlowAnswer(const VersionTrial& trial, const TrialAnswer& answer) {
-  const auto mean = trial.old_means.find(answer.route);
-  if (!answer.timed || mean == trial.old_means.end())
+bool IsSlowResponse(const VersionTrial& trial, const TrialResponse& answer) {
+  const auto mean = trial.old_mean_ms.find(answer.route);
+  if (!answer.timed || mean == trial.old_mean_ms.end())
     return false;
   const double took_ms =
-      static_cast<double>(answer.took.count()) / kMicrosPerMilli;
+      static_cast<double>(answer.latency.count()) / kMicrosPerMilli;
   const TrialSettings& settings = trial.settings;
-  return took_ms > mean->second * settings.slowdown + settings.slowdown_ms;
+  return took_ms >
+         mean->second * settings.max_slowdown + settings.max_slowdown_ms;
 }
 
-void LearnOldMeans(VersionTrial& trial) {
-  for (const auto& [name, route] : TableOf(trial)) {
-    if (route.old.timed >= trial.settings.least_runs) {
-      trial.old_means[std::string(name)] =
+void UpdateOldMeans(VersionTrial& trial) {
+  for (const auto& [name, route] : RouteTableOf(trial)) {
+    if (route.old.timed >= trial.settings.min_runs) {
+      trial.old_mean_ms[std::string(name)] =
           RatioOf(route.old.sum_ms, route.old.timed);
     }
   }
 }
 
 // Part of the order's time that has passed since `start`.
-double PartSince(const VersionTrial& trial, TimePoint start, TimePoint now) {
+double FractionSince(const VersionTrial& trial,
+                     TimePoint start,
+                     TimePoint now) {
   const double whole = static_cast<double>(trial.order.duration.count());
   const double passed = static_cast<double>((now - start).count());
   return whole > 0 ? passed / whole : 1;
 }
 
-double PartPassed(const VersionTrial& trial, TimePoint now) {
-  return PartSince(trial, trial.started, now);
+double FractionElapsed(const VersionTrial& trial, TimePoint now) {
+  return FractionSince(trial, trial.started_at, now);
 }
 
 TrialFinding FindingOn(const TrialSettings& settings, const RouteSums& route) {
   if (IsSlowerTogether(settings, route))
-    return TrialFinding::kBad;
-  double judged = 0;
-  double bad = 0;
-  for (const auto& [instance, sums] : route.fresh) {
+    return TrialFinding::kFault;
+  double judged_upstreams = 0;
+  double bad_upstreams = 0;
+  for (const auto& [instance, sums] : route.new_by_upstream) {
     const bool failing = FailsMore(settings, sums, route.old);
     const bool slow = IsSlower(settings, sums, route.old);
-    if (sums.runs < settings.least_runs && !failing)
+    if (sums.runs < settings.min_runs && !failing)
       continue;
-    judged += 1;
-    bad += failing || slow ? 1 : 0;
+    judged_upstreams += 1;
+    bad_upstreams += failing || slow ? 1 : 0;
   }
-  const double part = RatioOf(bad, judged);
-  if (bad == 0 || part < settings.suspect_part)
-    return TrialFinding::kCalm;
-  return part >= settings.bad_part ? TrialFinding::kBad
-                                   : TrialFinding::kSuspect;
+  const double bad_fraction = RatioOf(bad_upstreams, judged_upstreams);
+  if (bad_upstreams == 0 || bad_fraction < settings.suspect_fraction)
+    return TrialFinding::kNone;
+  return bad_fraction >= settings.fault_fraction ? TrialFinding::kFault
+                                                 : TrialFinding::kSuspect;
 }
 
 }  // namespace
 
 std::string_view NameOf(MoveProgress progress) {
-  return kNames.at(static_cast<std::size_t>(progress));
+  return kProgressNames.at(static_cast<std::size_t>(progress));
 }
 
-void RecordTrial(VersionTrial& trial, const TrialAnswer& answer) {
-  TrialCell& cell =
+void RecordTrialResponse(VersionTrial& trial, const TrialResponse& answer) {
+  TrialCounters& counters =
       trial.own[{std::string(answer.instance), std::string(answer.route)}];
-  if (cell.runs == 0) {
-    cell.instance = std::string(answer.instance);
-    cell.route = std::string(answer.route);
-    cell.fresh = answer.fresh;
+  if (counters.runs == 0) {
+    counters.instance = std::string(answer.instance);
+    counters.route = std::string(answer.route);
+    counters.of_new_version = answer.from_new_version;
   }
-  ++cell.runs;
-  const bool slow = !answer.bad && IsSlowAnswer(trial, answer);
-  cell.bad += answer.bad || slow ? 1 : 0;
-  cell.slow += slow ? 1 : 0;
+  ++counters.runs;
+  const bool slow = !answer.bad && IsSlowResponse(trial, answer);
+  counters.bad += answer.bad || slow ? 1 : 0;
+  counters.slow += slow ? 1 : 0;
   if (!answer.timed)
     return;
-  ++cell.timed;
-  cell.sum_ms += static_cast<std::uint32_t>(
-      std::min(answer.took.count() / kMicrosPerMilli, kMostMillis));
+  ++counters.timed;
+  counters.total_ms += static_cast<std::uint32_t>(
+      std::min(answer.latency.count() / kMicrosPerMilli, kMaxTimedMillis));
 }
 
-TrialNote NoteOf(const VersionTrial& trial, TimePoint now) {
-  TrialNote note;
+TrialStatus StatusOf(const VersionTrial& trial, TimePoint now) {
+  TrialStatus note;
   note.service = trial.order.service;
   note.to = trial.order.to;
   note.progress = trial.progress;
   note.reported = trial.reported;
-  note.life = trial.life;
+  note.incarnation = trial.incarnation;
   note.duration_ms = static_cast<std::uint32_t>(trial.order.duration.count() /
                                                 kMicrosPerMilli);
   note.moved = ShareOf(trial, now) >= 1;
   if (trial.progress != MoveProgress::kRunning)
     return note;
-  note.age_ms = static_cast<std::uint32_t>((now - trial.started).count() /
+  note.age_ms = static_cast<std::uint32_t>((now - trial.started_at).count() /
                                            kMicrosPerMilli);
   for (const auto& [key, cell] : trial.own)
-    note.cells.push_back(cell);
+    note.counters.push_back(cell);
   return note;
 }
 
-void TakeNote(VersionTrial& trial,
-              const std::string& node,
-              const TrialNote& note,
-              TimePoint now) {
-  TrialNote& known = trial.peers[node];
-  if (known.life != note.life) {
-    trial.earlier.insert(trial.earlier.end(), known.cells.begin(),
-                         known.cells.end());
+void MergeStatus(VersionTrial& trial,
+                 const std::string& node,
+                 const TrialStatus& note,
+                 TimePoint now) {
+  TrialStatus& known = trial.peers[node];
+  if (known.incarnation != note.incarnation) {
+    trial.earlier_counters.insert(trial.earlier_counters.end(),
+                                  known.counters.begin(), known.counters.end());
   }
   known = note;
-  trial.started =
-      std::min(trial.started, now - std::chrono::milliseconds(note.age_ms));
+  trial.started_at =
+      std::min(trial.started_at, now - std::chrono::milliseconds(note.age_ms));
   trial.reported =
       trial.reported || (note.reported && note.progress == trial.progress);
   if (trial.progress == MoveProgress::kRunning &&
@@ -227,17 +230,19 @@
     return trial.progress == MoveProgress::kDone ? 1 : 0;
   const TrialSettings& settings = trial.settings;
   const bool ready = trial.ready_since != TimePoint{} &&
-                     now - trial.ready_since >= settings.settle;
+                     now - trial.ready_since >= settings.settling_time;
   if (!ready)
     return 0;
-  const double part = PartPassed(trial, now);
-  const double calm_part = PartSince(trial, trial.calm_since, now);
-  const double step = settings.step_after_suspicion;
-  if (part < settings.second_from || trial.finding != TrialFinding::kCalm)
+  const double elapsed = FractionElapsed(trial, now);
+  const double elapsed_since_cleared =
+      FractionSince(trial, trial.cleared_at, now);
+  const double step = settings.step_fraction_after_suspicion;
+  if (elapsed < settings.second_share_from ||
+      trial.finding != TrialFinding::kNone)
     return settings.first_share;
-  if (part < settings.third_from || calm_part < step)
+  if (elapsed < settings.third_share_from || elapsed_since_cleared < step)
     return settings.second_share;
-  if (part < settings.full_from || calm_part < 2 * step)
+  if (elapsed < settings.full_share_from || elapsed_since_cleared < 2 * step)
     return settings.third_share;
   return 1;
 }
@@ -246,24 +251,24 @@
                            std::size_t ready,
                            double share) {
   const TrialSettings& settings = trial.settings;
-  const bool evened =
+  const bool uses_all =
       share > settings.first_share && share <= settings.second_share;
-  if (evened || trial.finding != TrialFinding::kCalm)
+  if (uses_all || trial.finding != TrialFinding::kNone)
     return ready;
   const auto needed =
       static_cast<std::size_t>(std::ceil(share * static_cast<double>(ready)));
-  const std::size_t least = settings.first_upstreams;
-  return std::min(ready, std::max(needed, least));
+  const std::size_t min_upstreams = settings.first_upstreams;
+  return std::min(ready, std::max(needed, min_upstreams));
 }
 
 TrialFinding JudgeTrial(const VersionTrial& trial) {
-  TrialFinding worst = TrialFinding::kCalm;
+  TrialFinding worst = TrialFinding::kNone;
   Sums fresh;
   Sums old;
-  for (const auto& [name, route] : TableOf(trial)) {
+  for (const auto& [name, route] : RouteTableOf(trial)) {
     worst = std::max(worst, FindingOn(trial.settings, route));
     Add(old, route.old);
-    for (const auto& [instance, sums] : route.fresh)
+    for (const auto& [instance, sums] : route.new_by_upstream)
       Add(fresh, sums);
   }
   const TrialSettings& settings = trial.settings;
@@ -271,10 +276,10 @@
       RatioOf(fresh.slow, fresh.runs) - RatioOf(old.slow, old.runs);
   const double extra_failed = RatioOf(fresh.bad - fresh.slow, fresh.runs) -
                               RatioOf(old.bad - old.slow, old.runs);
-  const bool worse = extra_slow > settings.extra_slow_together ||
-                     extra_failed > settings.extra_failed_together;
-  if (fresh.bad >= settings.most_bad && worse)
-    return TrialFinding::kBad;
+  const bool worse = extra_slow > settings.max_extra_slow_together ||
+                     extra_failed > settings.max_extra_failed_together;
+  if (fresh.bad >= settings.min_bad_together && worse)
+    return TrialFinding::kFault;
   return worst;
 }
 
@@ -289,18 +294,19 @@
     trial.all_moved_since = TimePoint{};
   else if (trial.all_moved_since == TimePoint{})
     trial.all_moved_since = now;
-  LearnOldMeans(trial);
+  UpdateOldMeans(trial);
   const TrialFinding finding = JudgeTrial(trial);
-  if (finding == TrialFinding::kCalm && trial.finding != TrialFinding::kCalm)
-    trial.calm_since = now;
+  if (finding == TrialFinding::kNone && trial.finding != TrialFinding::kNone)
+    trial.cleared_at = now;
   trial.finding = finding;
-  const double part = PartPassed(trial, now);
-  const bool moved = trial.all_moved_since != TimePoint{} &&
-                     now - trial.all_moved_since >= trial.settings.moved_for;
-  const bool done = part >= trial.settings.done_from && moved &&
-                    view.old_idle && finding == TrialFinding::kCalm;
-  const bool too_late = part >= trial.settings.give_up_from;
-  if (finding == TrialFinding::kBad || (too_late && !done))
+  const double elapsed = FractionElapsed(trial, now);
+  const bool moved =
+      trial.all_moved_since != TimePoint{} &&
+      now - trial.all_moved_since >= trial.settings.min_all_moved;
+  const bool done = elapsed >= trial.settings.done_from && moved &&
+                    view.old_idle && finding == TrialFinding::kNone;
+  const bool is_overdue = elapsed >= trial.settings.rollback_from;
+  if (finding == TrialFinding::kFault || (is_overdue && !done))
     trial.progress = MoveProgress::kTakenBack;
   else if (done)
     trial.progress = MoveProgress::kDone;
--- a/src/node/gate.cc
+++ b/src/node/gate.cc
@@ -174,20 +174,20 @@
         {{"reason", NameOf(sent.error().kind)}});
 }
 
-AnswerOutcome OutcomeOf(const Result<HttpResponse>& answer, bool suspect) {
+ResponseOutcome OutcomeOf(const Result<HttpResponse>& answer, bool suspect) {
   if (suspect)
-    return AnswerOutcome::kCrashSuspect;
+    return ResponseOutcome::kCrashSuspect;
   if (!answer) {
     const ErrorKind kind = answer.error().kind;
     const bool late =
         kind == ErrorKind::kTimeout || kind == ErrorKind::kSilentConnection;
-    return late ? AnswerOutcome::kTimeout : AnswerOutcome::kFailed;
+    return late ? ResponseOutcome::kTimeout : ResponseOutcome::kFailed;
   }
   if (!FindHeader(answer->headers, kHeaderNotRun).empty())
-    return AnswerOutcome::kShed;
+    return ResponseOutcome::kShed;
   constexpr int kServerError = 500;
-  return answer->status >= kServerError ? AnswerOutcome::kFailed
-                                        : AnswerOutcome::kGood;
+  return answer->status >= kServerError ? ResponseOutcome::kFailed
+                                        : ResponseOutcome::kSucceeded;
 }
 
 void CountAnswer(Requests& service,
@@ -200,7 +200,7 @@
   if (!answer && (answer.error().kind == ErrorKind::kCancelled ||
                   answer.error().kind == ErrorKind::kConnectFailed))
     return;
-  AnswerSample sample;
+  ResponseSample sample;
   sample.outcome = OutcomeOf(answer, admitted.suspect);
   sample.latency = took;
   const auto warm_up = call.snapshot->services.find(call.route->service);
--- a/src/node/moves_news.cc
+++ b/src/node/moves_news.cc
@@ -35,7 +35,7 @@
   constexpr unsigned kStageShift = 60;
   constexpr std::uint64_t kTimeMask = (std::uint64_t{1} << kStageShift) - 1;
   const auto at =
-      static_cast<std::uint64_t>(verdict.at.time_since_epoch().count());
+      static_cast<std::uint64_t>(verdict.decided_at.time_since_epoch().count());
   return (static_cast<std::uint64_t>(verdict.stage) << kStageShift) |
          (kTimeMask - (at & kTimeMask));
 }
@@ -148,14 +148,15 @@
 }
 
 OpaqueRumour RumourOf(const DataCenterReport& report) {
-  return {Topic::kMoveReport, report.move + "/" + report.data_center,
-          static_cast<std::uint64_t>(report.at.time_since_epoch().count()),
-          EncodeReport(report), report.at + kReportLife};
+  return {
+      Topic::kMoveReport, report.move + "/" + report.data_center,
+      static_cast<std::uint64_t>(report.reported_at.time_since_epoch().count()),
+      EncodeReport(report), report.reported_at + kReportLife};
 }
 
 OpaqueRumour RumourOf(const EvidenceRow& row, TimePoint now) {
   const EvidenceKey& key = row.key;
-  const EvidenceCells& cells = row.cells;
+  const EvidenceCounters& cells = row.counters;
   // Every cell only grows, so their sum orders two copies of one row.
   const std::uint64_t version = cells.runs + cells.failures + cells.shed +
                                 cells.crash_suspects + cells.cold +
--- a/src/node/moves_service.cc
+++ b/src/node/moves_service.cc
@@ -92,7 +92,7 @@
   const std::scoped_lock lock(service.gate);
   if (!service.snapshot)
     return;
-  service.capacity.heard[service.data_center] = kernel.Now();
+  service.capacity.last_contact[service.data_center] = kernel.Now();
   const auto actions =
       StepMoves(service.state, *service.snapshot, service.evidence,
                 service.capacity, kernel.Now());
@@ -107,7 +107,7 @@
   const auto report = DecodeReport(bytes);
   if (!report || !MergeReport(service.state, *report))
     return false;
-  service.capacity.heard[report->data_center] = kernel.Now();
+  service.capacity.last_contact[report->data_center] = kernel.Now();
   return true;
 }
 
@@ -169,7 +169,7 @@
     return;
   const std::scoped_lock lock(service.gate);
   service.logged[verdict->move] = {verdict->stage, kernel.Now()};
-  if (NoteLogged(service.state, *verdict, kernel.Now())) {
+  if (OnLoggedVerdict(service.state, *verdict, kernel.Now())) {
     LogVerdict(*verdict);
     kernel.Post(kMembershipService, SpreadRumour{RumourOf(*verdict)});
   }
@@ -243,13 +243,13 @@
                   const Snapshot& snapshot,
                   const RouteConfig& route,
                   const std::string& version,
-                  const AnswerSample& sample) {
+                  const ResponseSample& sample) {
   const std::scoped_lock lock(service.gate);
   const MoveConfig* move = MoveOf(service.state, snapshot, route.service);
   if (move == nullptr)
     return;
-  RecordAnswer(service.evidence, KeyFor(service, *move, version, route.name),
-               sample);
+  RecordResponse(service.evidence, KeyFor(service, *move, version, route.name),
+                 sample);
 }
 
 void RecordUpstreamStart(MovesService& service,
--- a/src/node/moves_service.h
+++ b/src/node/moves_service.h
@@ -84,7 +84,7 @@
                   const Snapshot& snapshot,
                   const RouteConfig& route,
                   const std::string& version,
-                  const AnswerSample& sample);
+                  const ResponseSample& sample);
 
 // The upstream beside this node became ready, or vanished without leaving
 // after `lifetime`. Thread safe.
--- a/tests/unit/moves_evidence_test.cc
+++ b/tests/unit/moves_evidence_test.cc
@@ -20,14 +20,14 @@
   return key;
 }
 
-AnswerSample Good(int millis) {
-  AnswerSample sample;
+ResponseSample Good(int millis) {
+  ResponseSample sample;
   sample.latency = std::chrono::milliseconds(millis);
   return sample;
 }
 
-AnswerSample Bad(AnswerOutcome outcome) {
-  AnswerSample sample;
+ResponseSample WithOutcome(ResponseOutcome outcome) {
+  ResponseSample sample;
   sample.outcome = outcome;
   return sample;
 }
@@ -40,11 +40,11 @@
   std::uint64_t reached = 0;
   for (int i = 0; i < 60; ++i) {
     const EvidenceKey key = KeyOf(i % 2 == 0 ? "vm1" : "vm2", "v2");
-    RecordAnswer(source, key, Good(5 + i));
+    RecordResponse(source, key, Good(5 + i));
     for (EvidenceRow& row : RowsSince(source, reached, 10, &reached))
       messages.push_back(std::move(row));
   }
-  const EvidenceCells expected = TotalOf(source, "m1", "", "v2", "");
+  const EvidenceCounters expected = TotalOf(source, "m1", "", "v2", "");
   cr_assert(expected.runs == 60);
   Rng rng(7);
   for (int round = 0; round < 20; ++round) {
@@ -63,11 +63,11 @@
 Test(moves_evidence, suspects_and_shed_work_are_no_failures) {
   EvidenceTable table;
   const EvidenceKey key = KeyOf("vm1", "v2");
-  RecordAnswer(table, key, Bad(AnswerOutcome::kCrashSuspect));
-  RecordAnswer(table, key, Bad(AnswerOutcome::kShed));
-  RecordAnswer(table, key, Bad(AnswerOutcome::kTimeout));
-  RecordAnswer(table, key, Bad(AnswerOutcome::kFailed));
-  const EvidenceCells total = TotalOf(table, "m1", "bole", "v2", "search");
+  RecordResponse(table, key, WithOutcome(ResponseOutcome::kCrashSuspect));
+  RecordResponse(table, key, WithOutcome(ResponseOutcome::kShed));
+  RecordResponse(table, key, WithOutcome(ResponseOutcome::kTimeout));
+  RecordResponse(table, key, WithOutcome(ResponseOutcome::kFailed));
+  const EvidenceCounters total = TotalOf(table, "m1", "bole", "v2", "search");
   cr_assert(total.runs == 2 && total.failures == 2);
   cr_assert(total.shed == 1 && total.crash_suspects == 1);
 }
@@ -75,13 +75,13 @@
 // A version that is always slow must not pass as one that is cold for ever.
 Test(moves_evidence, a_cold_start_excuses_only_so_many_slow_answers) {
   EvidenceTable table;
-  AnswerSample sample = Good(900);
+  ResponseSample sample = Good(900);
   sample.cold = true;
-  for (std::uint32_t i = 0; i < kColdAnswers + 10; ++i)
-    RecordAnswer(table, KeyOf("vm1", "v2"), sample);
-  const EvidenceCells total = TotalOf(table, "m1", "", "v2", "");
-  cr_assert(total.cold == kColdAnswers);
-  cr_assert(total.latency.at(LatencyBucketOf(sample.latency)) == 10);
+  for (std::uint32_t i = 0; i < kMaxColdResponses + 10; ++i)
+    RecordResponse(table, KeyOf("vm1", "v2"), sample);
+  const EvidenceCounters total = TotalOf(table, "m1", "", "v2", "");
+  cr_assert(total.cold == kMaxColdResponses);
+  cr_assert(total.latency.at(LatencyBucketIndex(sample.latency)) == 10);
 }
 
 Test(moves_evidence, only_early_exits_count) {
@@ -90,15 +90,15 @@
   RecordStart(table, key);
   RecordExit(table, key, std::chrono::seconds(3));
   RecordExit(table, key, std::chrono::hours(3));
-  const EvidenceCells total = TotalOf(table, "m1", "", "v2", "");
+  const EvidenceCounters total = TotalOf(table, "m1", "", "v2", "");
   cr_assert(total.starts == 1 && total.early_exits == 1);
 }
 
 Test(moves_evidence, quantiles_lie_within_a_bucket) {
   EvidenceTable table;
   for (int millis = 1; millis <= 100; ++millis)
-    RecordAnswer(table, KeyOf("vm1", "v2"), Good(millis));
-  const EvidenceCells total = TotalOf(table, "m1", "", "v2", "");
+    RecordResponse(table, KeyOf("vm1", "v2"), Good(millis));
+  const EvidenceCounters total = TotalOf(table, "m1", "", "v2", "");
   const Duration median = LatencyQuantile(total, 0.5);
   cr_assert(median >= std::chrono::milliseconds(50));
   cr_assert(median <= std::chrono::milliseconds(67));
@@ -111,9 +111,9 @@
   row.key.move = std::string(32, 'm');
   row.key.data_center = std::string(32, 'd');
   row.key.route = std::string(32, 'r');
-  row.cells.runs = std::numeric_limits<std::uint64_t>::max();
-  row.cells.failures = 5;
-  row.cells.latency.fill(std::numeric_limits<std::uint32_t>::max());
+  row.counters.runs = std::numeric_limits<std::uint64_t>::max();
+  row.counters.failures = 5;
+  row.counters.latency.fill(std::numeric_limits<std::uint32_t>::max());
   const std::string bytes = EncodeRow(row);
   cr_assert(bytes.size() <= kMaxEvidenceRowBytes, "%zu bytes", bytes.size());
   const Result<EvidenceRow> back = DecodeRow(bytes);
@@ -124,7 +124,7 @@
 // counters.
 Test(moves_evidence, a_cut_row_is_refused) {
   EvidenceTable table;
-  RecordAnswer(table, KeyOf("vm1", "v2"), Good(5));
+  RecordResponse(table, KeyOf("vm1", "v2"), Good(5));
   std::uint64_t reached = 0;
   const std::string bytes = EncodeRow(RowsSince(table, 0, 1, &reached).front());
   for (std::size_t size = 0; size < bytes.size(); ++size) {
@@ -137,7 +137,7 @@
 Test(moves_evidence, changed_rows_come_in_pieces_and_ended_moves_go) {
   EvidenceTable table;
   for (int i = 0; i < 5; ++i)
-    RecordAnswer(table, KeyOf("vm" + std::to_string(i), "v1"), Good(5));
+    RecordResponse(table, KeyOf("vm" + std::to_string(i), "v1"), Good(5));
   std::uint64_t reached = 0;
   cr_assert(RowsSince(table, 0, 3, &reached).size() == 3);
   cr_assert(RowsSince(table, reached, 3, &reached).size() == 2);
@@ -157,7 +157,7 @@
     MergeRow(table, row);
   }
   cr_assert(table.rows.size() == kMaxEvidenceRows);
-  cr_assert(table.refused == 5);
+  cr_assert(table.refused_rows == 5);
 }
 
 }  // namespace
--- a/tests/unit/moves_faults_test.cc
+++ b/tests/unit/moves_faults_test.cc
@@ -23,10 +23,10 @@
   return account.front().state;
 }
 
-bool IsBack(const MovesState& node) {
+bool IsRolledBack(const MovesState& node) {
   const auto verdict = node.verdicts.find(std::string(kMove));
   return verdict != node.verdicts.end() &&
-         verdict->second.stage == MoveStage::kTakenBack;
+         verdict->second.stage == MoveStage::kRolledBack;
 }
 
 // A data centre is cut off during the ramp. Were the move called done without
@@ -64,7 +64,7 @@
     cr_assert(outcome.taken_back && !outcome.split, "seed %d",
               static_cast<int>(seed));
     for (const MovesState& node : trial.nodes)
-      cr_assert(IsBack(node));
+      cr_assert(IsRolledBack(node));
   }
 }
 
@@ -168,7 +168,7 @@
         continue;
       ++appends;
       if (second >= 30)
-        NoteLogged(node, action.verdict, now);
+        OnLoggedVerdict(node, action.verdict, now);
     }
   }
   // Every five seconds until the log took it.
@@ -176,7 +176,7 @@
   // A herd returns and reads the log.
   MovesState fresh;
   fresh.data_center = node.data_center;
-  NoteLogged(fresh, node.verdicts.begin()->second, trial.Now());
+  OnLoggedVerdict(fresh, node.verdicts.begin()->second, trial.Now());
   cr_assert(StepMoves(fresh, trial.snapshot, {}, {}, trial.Now()).size() <= 3);
   cr_assert(ShareOf(fresh, trial.snapshot, "ledger-desk", "v2") == 0);
 }
--- a/tests/unit/moves_operator_test.cc
+++ b/tests/unit/moves_operator_test.cc
@@ -12,7 +12,7 @@
 const TimePoint kStart{std::chrono::seconds(1'000'000)};
 
 // One data centre in which every request is answered at once.
-struct World {
+struct DeploymentFixture {
   MovesState state;
   Snapshot snapshot;
   EvidenceTable table;
@@ -22,7 +22,7 @@
   int fail_every = 1;
   int failing_runs = 0;
 
-  World() {
+  DeploymentFixture() {
     this->state.node = "vm1";
     this->state.data_center = "bole";
     this->snapshot.data_centers = {"bole"};
@@ -54,7 +54,7 @@
            StepMoves(this->state, this->snapshot, this->table, this->capacity,
                      this->now)) {
         if (action.kind == MoveActionKind::kAppendVerdict)
-          NoteLogged(this->state, action.verdict, this->now);
+          OnLoggedVerdict(this->state, action.verdict, this->now);
       }
       PurgeEvidence(this->table, LiveMoves(this->state, this->snapshot));
     }
@@ -70,12 +70,12 @@
       key.data_center = "bole";
       key.version = this->Pick();
       key.route = "search";
-      AnswerSample sample;
+      ResponseSample sample;
       sample.latency = std::chrono::milliseconds(8 + n % 7);
       if (key.version == failing &&
           ++this->failing_runs % this->fail_every == 0)
-        sample.outcome = AnswerOutcome::kFailed;
-      RecordAnswer(this->table, key, sample);
+        sample.outcome = ResponseOutcome::kFailed;
+      RecordResponse(this->table, key, sample);
     }
   }
 
@@ -98,7 +98,7 @@
 };
 
 Test(moves_operator, a_good_move_goes_from_start_to_done) {
-  World world;
+  DeploymentFixture world;
   world.Add("m1");
   world.Run(20);
   cr_assert(world.Share("v1") == 1 && world.Share("v2") == 0);
@@ -120,7 +120,7 @@
 // that moved again without a new order would be the half-done upgrade that the
 // operators fear.
 Test(moves_operator, a_withdrawn_move_never_resumes) {
-  World world;
+  DeploymentFixture world;
   world.Add("m1");
   world.Run(120);
   cr_assert(world.Share("v2") > 0);
@@ -131,27 +131,27 @@
   world.Add("m1").withdrawn = false;
   world.Run(60);
   cr_assert(world.Share("v2") == 0);
-  cr_assert(world.Account("m1").state == AccountState::kTakenBack);
+  cr_assert(world.Account("m1").state == AccountState::kRolledBack);
 }
 
 // The new version is mended and the operator orders the move again under a new
 // id. The evidence of the first time must not count against it.
 Test(moves_operator, a_new_id_starts_again) {
-  World world;
+  DeploymentFixture world;
   world.Add("m1");
   world.Run(60, "v2");
-  cr_assert(world.Account("m1").state == AccountState::kTakenBack);
+  cr_assert(world.Account("m1").state == AccountState::kRolledBack);
   MoveConfig& again = world.Add("m2");
   again.start = world.now + std::chrono::seconds(30);
   again.by = again.start + std::chrono::seconds(300);
   world.Run(320);
   cr_assert(world.Account("m2").state == AccountState::kDone);
-  cr_assert(world.Account("m1").state == AccountState::kTakenBack);
+  cr_assert(world.Account("m1").state == AccountState::kRolledBack);
   cr_assert(world.Pick() == "v2");
 }
 
 Test(moves_operator, a_later_move_of_the_service_waits) {
-  World world;
+  DeploymentFixture world;
   world.Add("m1");
   world.Add("m2", "v3").start = kStart + std::chrono::seconds(5);
   world.Run(100);
@@ -161,7 +161,7 @@
 
 // `by` is brought forward while the move runs.
 Test(moves_operator, a_new_deadline_takes_effect) {
-  World world;
+  DeploymentFixture world;
   MoveConfig& move = world.Add("m1");
   move.by = kStart + std::chrono::hours(3);
   world.Run(90);
@@ -175,7 +175,7 @@
 // while the move runs. With the bounds as they were it would be taken back.
 Test(moves_operator, new_bounds_take_effect) {
   for (const bool loosened : {false, true}) {
-    World world;
+    DeploymentFixture world;
     world.fail_every = 20;
     world.Add("m1");
     world.Run(35, "v2");
@@ -184,14 +184,14 @@
     world.Run(285, "v2");
     const AccountState state = world.Account("m1").state;
     cr_assert(state ==
-              (loosened ? AccountState::kDone : AccountState::kTakenBack));
+              (loosened ? AccountState::kDone : AccountState::kRolledBack));
   }
 }
 
 // The file names another version under the same id. The evidence is about the
 // first one, so the change has to be refused and said.
 Test(moves_operator, other_versions_under_one_id_are_ignored_and_named) {
-  World world;
+  DeploymentFixture world;
   world.Add("m1");
   world.Run(120);
   world.Add("m1", "v3");
@@ -204,7 +204,7 @@
 // All new upstreams are gone for a while. Requests must not wait for them, and
 // the move must neither end nor be blamed.
 Test(moves_operator, without_ready_slots_the_new_version_gets_nothing) {
-  World world;
+  DeploymentFixture world;
   world.Add("m1");
   world.Run(150);
   world.capacity.ready_slots[{"registry-desk", "v2"}] = 0;
@@ -219,7 +219,7 @@
 // A data centre is not heard. The account has to name it and must not say done,
 // whatever verdict this node holds.
 Test(moves_operator, the_account_names_what_is_unknown) {
-  World world;
+  DeploymentFixture world;
   world.snapshot.data_centers = {"bole", "piassa"};
   world.Add("m1");
   world.Run(300);
@@ -245,7 +245,7 @@
 }
 
 Test(moves_operator, the_account_says_why_a_move_was_taken_back) {
-  World world;
+  DeploymentFixture world;
   world.Add("m1");
   world.Run(60, "v2");
   const AccountRow row = world.Account("m1");
--- a/tests/unit/moves_service_test.cc
+++ b/tests/unit/moves_service_test.cc
@@ -64,14 +64,14 @@
   const SnapshotPtr snapshot = SnapshotFor("bole");
   for (int i = 0; i < 7; ++i)
     RecordAnswer(bole.service, *snapshot, snapshot->routes.front(), "v2",
-                 AnswerSample{AnswerOutcome::kFailed,
-                              std::chrono::milliseconds(3), false});
+                 ResponseSample{ResponseOutcome::kFailed,
+                                std::chrono::milliseconds(3), false});
   for (int second = 1; second <= 5; ++second)
     bole.kernel.Advance(kStart + std::chrono::seconds(second));
   for (const ToOtherDataCenters& sent : bole.sent)
     piassa.kernel.Post(kMovesService, ModuleBody{{}, sent.body});
   piassa.kernel.Advance(kStart + std::chrono::seconds(6));
-  const EvidenceCells heard =
+  const EvidenceCounters heard =
       TotalOf(piassa.service.evidence, "ledger", "bole", "v2", "case-index");
   cr_assert(heard.runs == 7, "%d heard", static_cast<int>(heard.runs));
   cr_assert(heard.failures == 7);
@@ -98,9 +98,9 @@
   verdict.service = "registry-desk";
   verdict.from = "v1";
   verdict.to = "v2";
-  verdict.stage = MoveStage::kTakenBack;
+  verdict.stage = MoveStage::kRolledBack;
   verdict.reason = VerdictReason::kFailures;
-  verdict.at = kStart;
+  verdict.decided_at = kStart;
   for (Side& side : sides)
     cr_assert(MergeVerdict(side.service.state, verdict));
   std::size_t read = 0;
--- a/tests/unit/moves_trial_test.cc
+++ b/tests/unit/moves_trial_test.cc
@@ -9,10 +9,10 @@
 struct Sums {
   int trials = 0;
   int done = 0;
-  int back = 0;
+  int rollbacks = 0;
   int split = 0;
-  int neighbours_back = 0;
-  double most_after_fault = 0;
+  int neighbour_rollbacks = 0;
+  double max_requests_after_fault = 0;
 };
 
 Sums RunSeeds(Class kind, int seeds, double least_rate, double most_rate) {
@@ -27,80 +27,81 @@
     const Outcome outcome = Trial(setup).Run();
     ++sums.trials;
     sums.done += outcome.done_in_time ? 1 : 0;
-    sums.back += outcome.taken_back ? 1 : 0;
+    sums.rollbacks += outcome.taken_back ? 1 : 0;
     sums.split += outcome.split ? 1 : 0;
-    sums.neighbours_back += outcome.neighbour_taken_back ? 1 : 0;
-    sums.most_after_fault =
-        std::max(sums.most_after_fault, outcome.requests_after_fault);
+    sums.neighbour_rollbacks += outcome.neighbour_taken_back ? 1 : 0;
+    sums.max_requests_after_fault =
+        std::max(sums.max_requests_after_fault, outcome.requests_after_fault);
   }
   return sums;
 }
 
-void ExpectTakenBack(Class kind, double least_rate, double most_after_fault) {
+void ExpectRolledBack(Class kind, double least_rate, double most_after_fault) {
   const Sums sums = RunSeeds(kind, 24, least_rate, 500);
-  cr_assert(sums.back == sums.trials, "%d of %d", sums.back, sums.trials);
+  cr_assert(sums.rollbacks == sums.trials, "%d of %d", sums.rollbacks,
+            sums.trials);
   cr_assert(sums.split == 0);
-  cr_assert(sums.most_after_fault <= most_after_fault, "%.0f requests",
-            sums.most_after_fault);
+  cr_assert(sums.max_requests_after_fault <= most_after_fault, "%.0f requests",
+            sums.max_requests_after_fault);
 }
 
 void ExpectDone(Class kind, double most_rate = 500) {
   const Sums sums = RunSeeds(kind, 24, 0.2, most_rate);
-  cr_assert(sums.back == 0, "%d taken back", sums.back);
+  cr_assert(sums.rollbacks == 0, "%d taken back", sums.rollbacks);
   cr_assert(sums.done == sums.trials, "%d of %d", sums.done, sums.trials);
 }
 
 // The new version fails most requests from the first one on. Callers see
 // failures until it gets no more requests.
 Test(moves_trial, a_version_that_fails_at_once_is_taken_back) {
-  ExpectTakenBack(Class::kFailsAtOnce, 0.2, 120);
+  ExpectRolledBack(Class::kFailsAtOnce, 0.2, 120);
 }
 
 // One request in twenty fails, which no caller can tell from bad luck.
 Test(moves_trial, a_version_that_fails_a_little_is_taken_back) {
-  ExpectTakenBack(Class::kFailsALittle, 6, 1500);
+  ExpectRolledBack(Class::kFailsALittle, 6, 1500);
 }
 
 // Every answer is right and takes three times as long.
 Test(moves_trial, a_slow_version_is_taken_back) {
-  ExpectTakenBack(Class::kSlow, 2, 300);
+  ExpectRolledBack(Class::kSlow, 2, 300);
 }
 
 // All goes well until some moment of the ramp, when much traffic has moved.
 Test(moves_trial, a_version_that_fails_later_is_taken_back) {
-  ExpectTakenBack(Class::kFailsLater, 2, 1500);
+  ExpectRolledBack(Class::kFailsLater, 2, 1500);
 }
 
 // The fault shows only when the new version has a large share.
 Test(moves_trial, a_version_that_fails_under_load_is_taken_back) {
-  ExpectTakenBack(Class::kUnderLoad, 2, 5000);
+  ExpectRolledBack(Class::kUnderLoad, 2, 5000);
 }
 
 // One rare route fails; the sum over all routes looks fine.
 Test(moves_trial, a_version_with_one_bad_route_is_taken_back) {
-  ExpectTakenBack(Class::kOneRoute, 20, 4000);
+  ExpectRolledBack(Class::kOneRoute, 20, 4000);
 }
 
 // Only the upstreams of one data centre are bad.
 Test(moves_trial, a_version_bad_in_one_data_center_is_taken_back) {
-  ExpectTakenBack(Class::kOneDataCenter, 6, 1000);
+  ExpectRolledBack(Class::kOneDataCenter, 6, 1000);
 }
 
 // The new upstreams announce themselves, vanish after seconds and come again.
 Test(moves_trial, a_version_that_crashes_on_start_is_taken_back) {
-  ExpectTakenBack(Class::kCrashOnStart, 0.2, 500);
+  ExpectRolledBack(Class::kCrashOnStart, 0.2, 500);
 }
 
 // The new version accepts requests and never answers.
 Test(moves_trial, a_version_that_hangs_is_taken_back) {
-  ExpectTakenBack(Class::kHangs, 0.2, 200);
+  ExpectRolledBack(Class::kHangs, 0.2, 200);
 }
 
 // Two services move at the same time, and one of the versions is bad. The
 // other service's move must not suffer.
 Test(moves_trial, of_two_moves_only_the_bad_one_is_taken_back) {
   const Sums sums = RunSeeds(Class::kTwoMoves, 24, 0.2, 500);
-  cr_assert(sums.back == sums.trials && sums.neighbours_back == 0);
+  cr_assert(sums.rollbacks == sums.trials && sums.neighbour_rollbacks == 0);
 }
 
 Test(moves_trial, a_good_version_is_done_in_time) {
@@ -110,7 +111,7 @@
 // Something that both versions depend on fails for a while.
 Test(moves_trial, a_shared_fault_is_not_blamed_on_the_new_version) {
   const Sums sums = RunSeeds(Class::kSharedFault, 48, 2, 2000);
-  cr_assert(sums.back == 0, "%d taken back", sums.back);
+  cr_assert(sums.rollbacks == 0, "%d taken back", sums.rollbacks);
   cr_assert(sums.done == sums.trials, "%d of %d", sums.done, sums.trials);
 }
 
--- a/tests/unit/moves_verdict_test.cc
+++ b/tests/unit/moves_verdict_test.cc
@@ -15,10 +15,10 @@
   v.service = "registry-desk";
   v.from = "v1";
   v.to = "v2";
-  v.stage = rng() % 2 == 0 ? MoveStage::kDone : MoveStage::kTakenBack;
+  v.stage = rng() % 2 == 0 ? MoveStage::kDone : MoveStage::kRolledBack;
   v.reason = static_cast<VerdictReason>(
       rng() % static_cast<std::uint64_t>(VerdictReason::kCount));
-  v.at = TimePoint(std::chrono::seconds(rng() % 3));
+  v.decided_at = TimePoint(std::chrono::seconds(rng() % 3));
   v.data_center = rng() % 2 == 0 ? "bole" : "piassa";
   v.new_runs = rng() % 2;
   return v;
@@ -28,7 +28,7 @@
   DataCenterReport r;
   r.move = "m1";
   r.data_center = "bole";
-  r.at = TimePoint(std::chrono::seconds(rng() % 4));
+  r.reported_at = TimePoint(std::chrono::seconds(rng() % 4));
   r.share = static_cast<double>(rng() % 3) / 2;
   r.clean = rng() % 2 == 0;
   r.stage = static_cast<MoveStage>(rng() % 3);
@@ -78,13 +78,13 @@
   Rng rng(11);
   for (int round = 0; round < 50; ++round) {
     MovesState state;
-    bool back = false;
+    bool was_reversed = false;
     for (int i = 0; i < 10; ++i) {
       const Verdict verdict = RandomVerdict(rng);
       MergeVerdict(state, verdict);
-      back |= verdict.stage == MoveStage::kTakenBack;
+      was_reversed |= verdict.stage == MoveStage::kRolledBack;
       const MoveStage stage = state.verdicts.at("m1").stage;
-      cr_assert(!back || stage == MoveStage::kTakenBack);
+      cr_assert(!was_reversed || stage == MoveStage::kRolledBack);
     }
   }
 }
--- a/tests/unit/version_choice_test.cc
+++ b/tests/unit/version_choice_test.cc
@@ -10,8 +10,8 @@
 
 constexpr char kDesk[] = "registry-desk";
 
-TrialNote NoteTo(const char* version, std::uint32_t age_ms) {
-  TrialNote note;
+TrialStatus NoteTo(const char* version, std::uint32_t age_ms) {
+  TrialStatus note;
   note.service = kDesk;
   note.to = version;
   note.age_ms = age_ms;
@@ -20,7 +20,7 @@
 }
 
 void ReadOrder(VersionChoice& versions, const char* version) {
-  versions.TakeOrder({kDesk, version, std::chrono::seconds(14)});
+  versions.OnOrder({kDesk, version, std::chrono::seconds(14)});
 }
 
 // A node is cut off from the store, but not from the others, when a move is
@@ -28,7 +28,7 @@
 // time, so the move could not be done.
 Test(version_choice, an_order_told_by_a_peer_begins_the_move) {
   VersionChoice versions;
-  versions.TakeNotes("bole-2", {NoteTo("v2", 3000)});
+  versions.OnPeerStatuses("bole-2", {NoteTo("v2", 3000)});
   const auto& trials = versions.Trials();
   cr_assert(trials.contains(kDesk));
   const VersionTrial& trial = trials.at(kDesk);
@@ -41,9 +41,9 @@
 // It must not send there, however many of its upstreams are ready.
 Test(version_choice, a_verdict_told_by_a_peer_holds_without_the_order) {
   VersionChoice versions;
-  TrialNote note = NoteTo("v2", 0);
+  TrialStatus note = NoteTo("v2", 0);
   note.progress = MoveProgress::kTakenBack;
-  versions.TakeNotes("bole-2", {note});
+  versions.OnPeerStatuses("bole-2", {note});
   versions.SetReady({{kDesk, "v1", "i-1", 10, 0}, {kDesk, "v2", "i-2", 90, 0}});
   cr_assert(versions.Pick(kDesk).version == "v1");
 }
@@ -57,7 +57,7 @@
                      {kDesk, "", "i-2", 10, 0},
                      {kDesk, "v2", "i-3", 10, 0}});
   cr_assert(versions.Pick(kDesk).version.empty());
-  cr_assert(versions.Pick(kDesk).unknown_too);
+  cr_assert(versions.Pick(kDesk).allow_unknown);
   versions.SetReady({{kDesk, "v1", "i-1", 10, 0},
                      {kDesk, "v1", "i-2", 10, 0},
                      {kDesk, "", "i-3", 5, 0}});
@@ -70,8 +70,8 @@
   VersionChoice versions;
   versions.SetReady({{kDesk, "", "i-1", 4, 0}, {kDesk, "v1", "i-2", 4, 0}});
   const PickedVersion picked = versions.Pick(kDesk);
-  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kFirst);
-  cr_assert(FitOf(picked, "v1", "i-2") == VersionFit::kSpare);
+  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kPreferred);
+  cr_assert(FitOf(picked, "v1", "i-2") == VersionFit::kFallback);
 }
 
 // Every node restarts after a move was done and knows no version until the next
@@ -79,13 +79,13 @@
 Test(version_choice, unknown_versions_serve_after_a_move) {
   VersionChoice versions;
   ReadOrder(versions, "v2");
-  versions.TakeReport({kDesk, "v2", MoveProgress::kDone});
+  versions.OnReport({kDesk, "v2", MoveProgress::kDone});
   versions.SetReady({{kDesk, "", "i-1", 4, 0}});
-  cr_assert(FitOf(versions.Pick(kDesk), "", "i-1") == VersionFit::kFirst);
+  cr_assert(FitOf(versions.Pick(kDesk), "", "i-1") == VersionFit::kPreferred);
   versions.SetReady({{kDesk, "", "i-1", 4, 0}, {kDesk, "v2", "i-2", 4, 0}});
   const PickedVersion picked = versions.Pick(kDesk);
-  cr_assert(FitOf(picked, "v2", "i-2") == VersionFit::kFirst);
-  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kFirst);
+  cr_assert(FitOf(picked, "v2", "i-2") == VersionFit::kPreferred);
+  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kPreferred);
 }
 
 // The same after a version was taken back. It must get nothing, and what is
@@ -93,16 +93,16 @@
 Test(version_choice, unknown_versions_serve_alone_after_one_was_taken_back) {
   VersionChoice versions;
   ReadOrder(versions, "v2");
-  versions.TakeReport({kDesk, "v2", MoveProgress::kTakenBack});
+  versions.OnReport({kDesk, "v2", MoveProgress::kTakenBack});
   versions.SetReady({{kDesk, "", "i-1", 4, 0}, {kDesk, "v2", "i-2", 4, 0}});
   PickedVersion picked = versions.Pick(kDesk);
-  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kFirst);
+  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kPreferred);
   cr_assert(FitOf(picked, "v2", "i-2") == VersionFit::kNone);
   versions.SetReady({{kDesk, "", "i-1", 4, 0},
                      {kDesk, "v1", "i-3", 4, 0},
                      {kDesk, "v2", "i-2", 4, 0}});
   picked = versions.Pick(kDesk);
-  cr_assert(FitOf(picked, "v1", "i-3") == VersionFit::kFirst);
+  cr_assert(FitOf(picked, "v1", "i-3") == VersionFit::kPreferred);
   cr_assert(FitOf(picked, "", "i-1") == VersionFit::kNone);
   cr_assert(FitOf(picked, "v2", "i-2") == VersionFit::kNone);
 }
@@ -114,7 +114,7 @@
   ReadOrder(versions, "v2");
   versions.SetReady({{kDesk, "", "i-1", 4, 0}, {kDesk, "v2", "i-2", 4, 0}});
   const PickedVersion picked = versions.Pick(kDesk);
-  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kFirst);
+  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kPreferred);
   cr_assert(FitOf(picked, "v2", "i-2") == VersionFit::kNone);
 }
 
@@ -127,8 +127,8 @@
                      {kDesk, "v2", "i-2", 4, 0},
                      {kDesk, "v2", "i-3", 4, 0}});
   const PickedVersion picked = versions.Pick(kDesk);
-  cr_assert(FitOf(picked, "v2", "i-2") == VersionFit::kFirst);
-  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kSpare);
+  cr_assert(FitOf(picked, "v2", "i-2") == VersionFit::kPreferred);
+  cr_assert(FitOf(picked, "", "i-1") == VersionFit::kFallback);
 }
 
 // A request that fails at the few upstreams which a new version may use is sent
@@ -143,10 +143,10 @@
   int fresh = 0;
   for (int i = 0; i < 200; ++i) {
     const PickedVersion picked = versions.Pick(kDesk);
-    const bool to_new = FitOf(picked, "v2", "i-2") == VersionFit::kFirst;
+    const bool to_new = FitOf(picked, "v2", "i-2") == VersionFit::kPreferred;
     fresh += to_new ? 1 : 0;
     cr_assert(FitOf(picked, "v1", "i-1") ==
-              (to_new ? VersionFit::kSpare : VersionFit::kFirst));
+              (to_new ? VersionFit::kFallback : VersionFit::kPreferred));
     cr_assert(to_new || FitOf(picked, "v2", "i-2") == VersionFit::kNone);
   }
   cr_assert(fresh > 0);
@@ -156,7 +156,7 @@
 Test(version_choice, an_older_move_does_not_come_back) {
   VersionChoice versions;
   ReadOrder(versions, "v3");
-  versions.TakeNotes("bole-2", {NoteTo("v2", 20000)});
+  versions.OnPeerStatuses("bole-2", {NoteTo("v2", 20000)});
   cr_assert(versions.Trials().at(kDesk).order.to == "v3");
 }
 
@@ -164,7 +164,7 @@
 // a peer told comes first. Taken for new, it would begin the older move again.
 Test(version_choice, an_older_order_read_late_is_passed_over) {
   VersionChoice versions;
-  versions.TakeNotes("bole-2", {NoteTo("v3", 100)});
+  versions.OnPeerStatuses("bole-2", {NoteTo("v3", 100)});
   ReadOrder(versions, "v2");
   cr_assert(versions.Trials().at(kDesk).order.to == "v3");
   ReadOrder(versions, "v3");
--- a/tests/unit/version_trial_test.cc
+++ b/tests/unit/version_trial_test.cc
@@ -18,71 +18,71 @@
 
 struct Outcome {
   bool bad = false;
-  Duration took = Ms(100);
+  Duration latency = Ms(100);
 };
 
 // How an upstream of the new version answers: which one, on which route, how
 // long after the order, and how loaded it is from 0 to 1.
-struct Question {
+struct SimulatedRequest {
   int upstream = 0;
   int route = 0;
-  Duration since{};
+  Duration since_order{};
   double load = 0;
 };
-using Behaviour = std::function<Outcome(const Question&, Rng&)>;
+using ResponseModel = std::function<Outcome(const SimulatedRequest&, Rng&)>;
 
-Outcome SameAsEver(const Question& /*asked*/, Rng& /*rng*/) {
+Outcome RespondNormally(const SimulatedRequest& /*asked*/, Rng& /*rng*/) {
   return {};
 }
 
-struct Run {
+struct Simulation {
   MoveProgress progress = MoveProgress::kRunning;
-  Duration ended{};
+  Duration ended_after{};
   // Requests that the new version got, and those of the service.
-  int exposed = 0;
-  int total = 0;
+  int new_version_requests = 0;
+  int total_requests = 0;
 };
 
 // One service of nine upstreams in each version at `rate` requests a second, as
 // one node sees it. Answers are counted when they come; each tenth of a second
 // the trial is judged. Seeded, on a virtual clock.
-Run Play(const Behaviour& fresh,
-         Duration duration,
-         std::uint64_t seed,
-         const Behaviour& old = SameAsEver) {
+Simulation Simulate(const ResponseModel& fresh,
+                    Duration duration,
+                    std::uint64_t seed,
+                    const ResponseModel& old = RespondNormally) {
   constexpr int kUpstreams = 9;
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", duration};
-  trial.started = kStart;
+  trial.started_at = kStart;
   Rng rng(seed);
-  std::multimap<TimePoint, TrialAnswer> due;
+  std::multimap<TimePoint, TrialResponse> in_flight;
   std::vector<std::string> names;
   names.reserve(std::size_t{2} * kUpstreams);
   for (int i = 0; i < 2 * kUpstreams; ++i)
     names.push_back("i-" + std::to_string(i));
-  Run run;
+  Simulation run;
   const auto per_tick = static_cast<int>(kRate / 100);
   for (Ms passed{0}; passed < duration; passed += Ms(10)) {
     const TimePoint now = kStart + passed;
-    while (!due.empty() && due.begin()->first <= now) {
-      RecordTrial(trial, due.begin()->second);
-      due.erase(due.begin());
+    while (!in_flight.empty() && in_flight.begin()->first <= now) {
+      RecordTrialResponse(trial, in_flight.begin()->second);
+      in_flight.erase(in_flight.begin());
     }
     const bool ended = trial.progress != MoveProgress::kRunning;
     if (!ended && passed % Ms(100) == Ms(0)) {
       const bool moved = ShareOf(trial, now) >= 1;
       if (StepTrial(trial, {true, moved, moved}, now))
-        run.ended = passed;
+        run.ended_after = passed;
     }
     const double share = ShareOf(trial, now);
     const std::size_t in_use = UpstreamsInUse(trial, kUpstreams, share);
     for (int i = 0; i < per_tick; ++i) {
-      ++run.total;
+      ++run.total_requests;
       const bool to_new = std::uniform_real_distribution<>(0, 1)(rng) < share;
-      run.exposed += to_new ? 1 : 0;
+      run.new_version_requests += to_new ? 1 : 0;
       const int route = rng() % 4 == 0 ? 1 : 0;
-      TrialAnswer answer;
-      answer.fresh = to_new;
+      TrialResponse answer;
+      answer.from_new_version = to_new;
       answer.timed = true;
       answer.route = route == 0 ? "read" : "write";
       Outcome outcome;
@@ -90,12 +90,12 @@
           rng() % (to_new ? in_use : static_cast<std::size_t>(kUpstreams)));
       const double load = share * kUpstreams / static_cast<double>(in_use);
       outcome = (to_new ? fresh : old)({upstream, route, passed, load}, rng);
-      const std::size_t place =
+      const std::size_t name_index =
           static_cast<std::size_t>(upstream) + (to_new ? kUpstreams : 0U);
-      answer.instance = names[place];
+      answer.instance = names[name_index];
       answer.bad = outcome.bad;
-      answer.took = outcome.took;
-      due.emplace(now + outcome.took, answer);
+      answer.latency = outcome.latency;
+      in_flight.emplace(now + outcome.latency, answer);
     }
   }
   run.progress = trial.progress;
@@ -107,20 +107,22 @@
 }
 
 // A tenth of the requests between the order and its end, and fifty.
-void CheckTakenBack(const Run& run, std::uint64_t seed) {
+void ExpectRolledBack(const Simulation& run, std::uint64_t seed) {
   cr_assert(run.progress == MoveProgress::kTakenBack, "seed %d",
             static_cast<int>(seed));
-  cr_assert(run.exposed <= run.total / 10 + 50, "seed %d: %d of %d",
-            static_cast<int>(seed), run.exposed, run.total);
+  cr_assert(run.new_version_requests <= run.total_requests / 10 + 50,
+            "seed %d: %d of %d", static_cast<int>(seed),
+            run.new_version_requests, run.total_requests);
 }
 
 Test(version_trial, a_good_version_is_done_in_time) {
   for (const Duration duration : {Ms(12000), Ms(16000)}) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-      const Run run =
-          Play([](const Question&, Rng&) { return Outcome{}; }, duration, seed);
+      const Simulation run =
+          Simulate([](const SimulatedRequest&, Rng&) { return Outcome{}; },
+                   duration, seed);
       cr_assert(run.progress == MoveProgress::kDone);
-      cr_assert(run.ended < duration * 9 / 10);
+      cr_assert(run.ended_after < duration * 9 / 10);
     }
   }
 }
@@ -129,11 +131,12 @@
 // failures, and nothing of it a few seconds after the order.
 Test(version_trial, failures_take_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    const Run run = Play(
-        [](const Question&, Rng& rng) { return Outcome{Chance(0.5, rng)}; },
-        Ms(16000), seed);
-    CheckTakenBack(run, seed);
-    cr_assert(run.ended < Ms(4000));
+    const Simulation run =
+        Simulate([](const SimulatedRequest&,
+                    Rng& rng) { return Outcome{Chance(0.5, rng)}; },
+                 Ms(16000), seed);
+    ExpectRolledBack(run, seed);
+    cr_assert(run.ended_after < Ms(4000));
   }
 }
 
@@ -141,12 +144,12 @@
 // evidence.
 Test(version_trial, slowness_takes_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(Play(
-                       [](const Question&, Rng&) {
-                         return Outcome{false, Ms(800)};
-                       },
-                       Ms(12000), seed),
-                   seed);
+    ExpectRolledBack(Simulate(
+                         [](const SimulatedRequest&, Rng&) {
+                           return Outcome{false, Ms(800)};
+                         },
+                         Ms(12000), seed),
+                     seed);
   }
 }
 
@@ -154,9 +157,9 @@
 // busy upstream may have; but the old version has hardly any such answer.
 Test(version_trial, slowness_of_some_answers_takes_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(
-        Play(
-            [](const Question&, Rng& rng) {
+    ExpectRolledBack(
+        Simulate(
+            [](const SimulatedRequest&, Rng& rng) {
               return Outcome{false, Chance(0.4, rng) ? Ms(400) : Ms(100)};
             },
             Ms(16000), seed),
@@ -167,22 +170,22 @@
 // Only one route fails, which has a quarter of the requests.
 Test(version_trial, failures_of_one_route_take_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(Play(
-                       [](const Question& asked, Rng& rng) {
-                         return Outcome{asked.route == 1 && Chance(0.5, rng)};
-                       },
-                       Ms(16000), seed),
-                   seed);
+    ExpectRolledBack(Simulate(
+                         [](const SimulatedRequest& asked, Rng& rng) {
+                           return Outcome{asked.route == 1 && Chance(0.5, rng)};
+                         },
+                         Ms(16000), seed),
+                     seed);
   }
 }
 
 // It is well for three seconds and fails after that.
 Test(version_trial, a_late_fault_takes_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(
-        Play(
-            [](const Question& asked, Rng& rng) {
-              return Outcome{asked.since > Ms(3000) && Chance(0.5, rng)};
+    ExpectRolledBack(
+        Simulate(
+            [](const SimulatedRequest& asked, Rng& rng) {
+              return Outcome{asked.since_order > Ms(3000) && Chance(0.5, rng)};
             },
             Ms(12000), seed),
         seed);
@@ -193,12 +196,12 @@
 // requests go to two upstreams only, so that this shows before all have moved.
 Test(version_trial, a_fault_under_load_takes_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(Play(
-                       [](const Question& asked, Rng& rng) {
-                         return Outcome{asked.load > 0.7 && Chance(0.5, rng)};
-                       },
-                       Ms(16000), seed),
-                   seed);
+    ExpectRolledBack(Simulate(
+                         [](const SimulatedRequest& asked, Rng& rng) {
+                           return Outcome{asked.load > 0.7 && Chance(0.5, rng)};
+                         },
+                         Ms(16000), seed),
+                     seed);
   }
 }
 
@@ -206,14 +209,14 @@
 // version, and a move that is taken back for it would have to be ordered again.
 Test(version_trial, one_slow_upstream_does_not_take_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    const Run run = Play(
-        [](const Question& asked, Rng&) {
+    const Simulation run = Simulate(
+        [](const SimulatedRequest& asked, Rng&) {
           return Outcome{false, asked.upstream == 4 ? Ms(700) : Ms(100)};
         },
         Ms(16000), seed);
     cr_assert(run.progress != MoveProgress::kRunning);
     cr_assert(run.progress == MoveProgress::kDone ||
-              run.exposed <= run.total / 10 + 50);
+              run.new_version_requests <= run.total_requests / 10 + 50);
   }
 }
 
@@ -229,7 +232,7 @@
   return {false, Duration(static_cast<std::int64_t>(work(rng) * 1000))};
 }
 
-Outcome VariedOld(const Question& asked, Rng& rng) {
+Outcome VariedOld(const SimulatedRequest& asked, Rng& rng) {
   return Varied(asked.upstream % 3 == 2, rng);
 }
 
@@ -241,8 +244,8 @@
   int done = 0;
   for (int first = 0; first < 3; ++first) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-      const Run run = Play(
-          [first](const Question& asked, Rng& rng) {
+      const Simulation run = Simulate(
+          [first](const SimulatedRequest& asked, Rng& rng) {
             return Varied(asked.upstream % 3 == first, rng);
           },
           Ms(14000), seed, VariedOld);
@@ -258,15 +261,15 @@
 Test(version_trial, slowness_shows_on_vms_of_different_speeds) {
   for (const int factor : {8, 5}) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-      CheckTakenBack(Play(
-                         [factor](const Question& asked, Rng& rng) {
-                           Outcome outcome = VariedOld(asked, rng);
-                           if (Chance(0.5, rng))
-                             outcome.took *= factor;
-                           return outcome;
-                         },
-                         Ms(16000), seed, VariedOld),
-                     seed);
+      ExpectRolledBack(Simulate(
+                           [factor](const SimulatedRequest& asked, Rng& rng) {
+                             Outcome outcome = VariedOld(asked, rng);
+                             if (Chance(0.5, rng))
+                               outcome.latency *= factor;
+                             return outcome;
+                           },
+                           Ms(16000), seed, VariedOld),
+                       seed);
     }
   }
 }
@@ -274,14 +277,14 @@
 // The same VMs, and a version that fails half of the requests of one route.
 Test(version_trial, failures_show_on_vms_of_different_speeds) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(Play(
-                       [](const Question& asked, Rng& rng) {
-                         Outcome outcome = VariedOld(asked, rng);
-                         outcome.bad = asked.route == 1 && Chance(0.5, rng);
-                         return outcome;
-                       },
-                       Ms(16000), seed, VariedOld),
-                   seed);
+    ExpectRolledBack(Simulate(
+                         [](const SimulatedRequest& asked, Rng& rng) {
+                           Outcome outcome = VariedOld(asked, rng);
+                           outcome.bad = asked.route == 1 && Chance(0.5, rng);
+                           return outcome;
+                         },
+                         Ms(16000), seed, VariedOld),
+                     seed);
   }
 }
 
@@ -289,16 +292,16 @@
 Test(version_trial, a_verdict_of_another_node_is_taken_over) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(16000)};
-  trial.started = kStart;
-  TrialNote note;
+  trial.started_at = kStart;
+  TrialStatus note;
   note.service = "registry-desk";
   note.to = "v2";
   note.progress = MoveProgress::kTakenBack;
-  TakeNote(trial, "bole-2", note, kStart);
+  MergeStatus(trial, "bole-2", note, kStart);
   cr_assert(trial.progress == MoveProgress::kTakenBack);
   cr_assert(ShareOf(trial, kStart) == 0);
   note.progress = MoveProgress::kDone;
-  TakeNote(trial, "bole-3", note, kStart);
+  MergeStatus(trial, "bole-3", note, kStart);
   cr_assert(trial.progress == MoveProgress::kTakenBack);
 }
 
@@ -307,19 +310,19 @@
 Test(version_trial, what_a_node_told_outlives_its_restart) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(16000)};
-  trial.started = kStart;
+  trial.started_at = kStart;
   for (std::uint64_t life = 1; life <= 6; ++life) {
-    TrialNote note;
+    TrialStatus note;
     note.service = "registry-desk";
     note.to = "v2";
-    note.life = life;
-    note.cells.push_back({"i-1", "read", true, 10, 5, 0, 0, 0});
-    TakeNote(trial, "bole-2", note, kStart);
+    note.incarnation = life;
+    note.counters.push_back({"i-1", "read", true, 10, 5, 0, 0, 0});
+    MergeStatus(trial, "bole-2", note, kStart);
   }
-  cr_assert(JudgeTrial(trial) == TrialFinding::kBad);
-  trial.earlier.clear();
-  trial.settings.least_bad = 100;
-  cr_assert(JudgeTrial(trial) == TrialFinding::kCalm);
+  cr_assert(JudgeTrial(trial) == TrialFinding::kFault);
+  trial.earlier_counters.clear();
+  trial.settings.min_bad = 100;
+  cr_assert(JudgeTrial(trial) == TrialFinding::kNone);
 }
 
 // A node starts in the middle of a move. Counted from its own start the move
@@ -327,13 +330,13 @@
 Test(version_trial, a_late_node_joins_at_the_stage_of_the_others) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(10000)};
-  trial.started = kStart;
+  trial.started_at = kStart;
   (void)StepTrial(trial, {true, false, false}, kStart);
-  TrialNote note;
+  TrialStatus note;
   note.service = "registry-desk";
   note.to = "v2";
   note.age_ms = 6000;
-  TakeNote(trial, "bole-2", note, kStart + Ms(500));
+  MergeStatus(trial, "bole-2", note, kStart + Ms(500));
   cr_assert(ShareOf(trial, kStart + Ms(500)) == 1);
 }
 
@@ -341,7 +344,7 @@
 Test(version_trial, not_done_while_old_upstreams_work) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(10000)};
-  trial.started = kStart;
+  trial.started_at = kStart;
   for (Ms passed{0}; passed < Ms(9000); passed += Ms(100))
     cr_assert_not(StepTrial(trial, {true, false, true}, kStart + passed));
 }
