--- a/include/teaselspread/evidence.h
+++ b/include/teaselspread/evidence.h
@@ -1,8 +1,9 @@
-// What gatekeepers saw of the two versions of a move: grow-only counters.
+// Grow-only counters of the responses that gatekeepers received from the two
+// versions of a move.
 //
-// Each row has one writer, and every cell of it only grows. Two copies of a row
-// merge by the larger cell, and rows are summed; messages that arrive late,
-// twice or crossed therefore cannot change a total.
+// Each row has one writer, and each of its counters only grows. Copies of a row
+// merge by taking the larger value of each counter, and totals are sums of
+// rows, so late, duplicated or reordered messages cannot change a total.
 #ifndef TEASELSPREAD_EVIDENCE_H_
 #define TEASELSPREAD_EVIDENCE_H_
 
@@ -21,37 +22,38 @@
 
 namespace teaselspread {
 
-// Latency is counted in buckets that grow by 2^0.4 from half a millisecond to
-// half a minute; the last one takes everything above.
+// Latency buckets: upper bounds grow by a factor of 2^0.4 from 0.5 ms to about
+// 30 s; the last bucket counts everything above.
 inline constexpr std::size_t kLatencyBuckets = 40;
 
-// Answers of one row whose slowness a cold start excuses. Bounded, since a
-// version that stays slow would otherwise be excused by restarting.
+// Responses per row whose latency is ignored because of a cold start. Bounded,
+// as a slow version could otherwise hide its latency by restarting.
 inline constexpr std::uint32_t kMaxColdResponses = 64;
 
-// Rows that one table holds; more are refused, so that a peer that invents
-// names cannot fill the memory.
+// Maximum number of rows in a table. Further rows are refused, so that a faulty
+// peer that sends made-up names cannot exhaust the memory.
 inline constexpr std::size_t kMaxEvidenceRows = 8192;
 
-// Longest encoded row.
+// Maximum size of an encoded row.
 inline constexpr std::size_t kMaxEvidenceRowBytes = 400;
 
 enum class ResponseOutcome : std::uint8_t {
   kSucceeded,
   kFailed,
-  // No answer by the deadline: counts as a failure.
+  // No response by the deadline: counts as a failure.
   kTimeout,
-  // Refused by the upstream as not run.
+  // The upstream refused the request without running it.
   kShed,
-  // The request is suspected of crashing upstreams: says nothing of a version.
+  // The request is suspected of crashing upstreams, so its outcome is no
+  // evidence about the version.
   kCrashSuspect,
 };
 
-// One answer of an upstream as its gatekeeper saw it.
+// One response of an upstream as its gatekeeper saw it.
 struct ResponseSample {
   ResponseOutcome outcome = ResponseOutcome::kSucceeded;
-  // From the first byte sent to the upstream until the last byte back, without
-  // the wait in the gatekeeper's queue.
+  // From the first byte sent to the upstream until the last byte received,
+  // excluding the wait in the gatekeeper's queue.
   Duration latency{0};
   // The upstream became ready less than the service's warm-up ago.
   bool cold = false;
@@ -63,7 +65,7 @@
   std::uint64_t incarnation = 0;
   std::string data_center;
   std::string version;
-  // Empty for the row that counts starts and early exits of the upstream.
+  // Empty in the row that counts starts and early exits of the upstream.
   std::string route;
 
   bool operator==(const EvidenceKey&) const = default;
@@ -77,16 +79,16 @@
 };
 
 struct EvidenceCounters {
-  // Answers with an outcome, failures among them.
+  // Responses that succeeded or failed, including `failures`.
   std::uint64_t runs = 0;
   std::uint64_t failures = 0;
   std::uint32_t shed = 0;
-  // Left out of `runs`.
+  // Not included in `runs`.
   std::uint32_t crash_suspects = 0;
-  // Answers whose latency was left out because of a cold start.
+  // Responses whose latency was ignored because of a cold start.
   std::uint32_t cold = 0;
   std::uint32_t starts = 0;
-  // Upstreams that vanished without leaving, soon after they were ready.
+  // Times that an upstream vanished without leaving soon after becoming ready.
   std::uint32_t early_exits = 0;
   std::array<std::uint32_t, kLatencyBuckets> latency{};
 
@@ -102,7 +104,7 @@
 
 struct StoredCounters {
   EvidenceCounters counters;
-  // The table's revision at the last change of this row.
+  // The table's revision when this row last changed.
   std::uint64_t revision = 0;
 };
 
@@ -114,45 +116,45 @@
   std::uint64_t refused_rows = 0;
 };
 
-// Index of the bucket that counts `latency`. Thread safe.
+// Index of the bucket for `latency`. Thread safe.
 [[nodiscard]] std::size_t LatencyBucketIndex(Duration latency);
 
 // Upper bound of a bucket. Precondition: bucket < kLatencyBuckets. Thread safe.
 [[nodiscard]] Duration LatencyBound(std::size_t bucket);
 
-// Upper bound of the bucket in which the `quantile` (0..1) of the counted
-// latencies lies; zero without any. Thread safe for a constant `cells`.
+// Upper bound of the bucket that holds the `quantile` (0..1) of the counted
+// latencies; zero if there are none. Thread safe for a constant `cells`.
 [[nodiscard]] Duration LatencyQuantile(const EvidenceCounters& cells,
                                        double quantile);
 
-// Counts one answer. Precondition: `key` names the caller's own node and
-// incarnation: a row has one writer. Not thread safe.
+// Counts one response. Precondition: `key` names the caller's own node and
+// incarnation, as a row has one writer. Not thread safe.
 void RecordResponse(EvidenceTable& table,
                     const EvidenceKey& key,
                     const ResponseSample& sample);
 
-// Counts that the upstream beside the node became ready. The key's route is
-// ignored. Same preconditions as RecordAnswer.
+// Counts a start: the upstream beside the node became ready. The key's route is
+// ignored. Same preconditions as RecordResponse.
 void RecordStart(EvidenceTable& table, EvidenceKey key);
 
-// Counts that the upstream vanished without leaving after `lifetime` of being
-// ready. Only early exits count, and none that a crash suspect explains (the
-// caller leaves those out). Same preconditions as RecordAnswer.
+// Counts that the upstream vanished without leaving after being ready for
+// `lifetime`. Only early exits are counted. The caller must omit exits that a
+// crash suspect explains. Same preconditions as RecordResponse.
 void RecordExit(EvidenceTable& table, EvidenceKey key, Duration lifetime);
 
-// Takes a peer's copy of a row: the larger of each cell. True when anything
-// grew. Not thread safe.
+// Merges a peer's copy of a row, taking the larger value of each counter.
+// Returns true if any counter grew. Not thread safe.
 bool MergeRow(EvidenceTable& table, const EvidenceRow& row);
 
 // At most `limit` rows that changed after `revision`, oldest change first, for
-// the next message to a peer. `*reached` becomes the revision to ask for next.
-// Precondition: reached != nullptr. Not thread safe.
+// the next message to a peer. `*next_revision` is set to the revision to pass
+// in the next call. Precondition: next_revision != nullptr. Not thread safe.
 [[nodiscard]] std::vector<EvidenceRow> RowsSince(const EvidenceTable& table,
                                                  std::uint64_t revision,
                                                  std::size_t limit,
                                                  std::uint64_t* next_revision);
 
-// Sum over the rows of a move and version; an empty data centre or route means
+// Sum of the rows of a move and version; an empty data centre or route matches
 // all of them. Not thread safe.
 [[nodiscard]] EvidenceCounters TotalOf(const EvidenceTable& table,
                                        std::string_view move,
@@ -166,10 +168,10 @@
 // Adds `other` to `cells`. Not thread safe.
 void AddCounters(EvidenceCounters& cells, const EvidenceCounters& other);
 
-// At most kMaxEvidenceRowBytes; names are cut off after 32 bytes. Thread safe.
+// At most kMaxEvidenceRowBytes; names are truncated to 32 bytes. Thread safe.
 [[nodiscard]] std::string EncodeRow(const EvidenceRow& row);
 
-// kFrameMalformed for anything that EncodeRow does not write. Thread safe.
+// Fails with kFrameMalformed on malformed input. Thread safe.
 [[nodiscard]] Result<EvidenceRow> DecodeRow(std::string_view bytes);
 
 }  // namespace teaselspread
--- a/include/teaselspread/move_account.h
+++ b/include/teaselspread/move_account.h
@@ -1,4 +1,5 @@
-// The account of moves that operators read: what is known, and what is not.
+// The account of moves for operators: their state as far as this node knows,
+// and what it does not know.
 #ifndef TEASELSPREAD_MOVE_ACCOUNT_H_
 #define TEASELSPREAD_MOVE_ACCOUNT_H_
 
@@ -19,8 +20,8 @@
   kRunning,
   // `by` has passed and the move has not ended.
   kLate,
-  // The verdict is done, but a data centre cannot be heard or has not said that
-  // it knows: it may still take the move back.
+  // The verdict is done, but a data centre is unreachable or has not reported
+  // that it knows the verdict: it may still roll the move back.
   kUnconfirmed,
   kDone,
   kRolledBack,
@@ -33,7 +34,7 @@
 // One data centre in the account of one move.
 struct AccountDataCenter {
   std::string name;
-  // False: the figures are the last ones heard, or none at all.
+  // If false, the figures are the last ones received, if any.
   bool reachable = false;
   bool reported = false;
   DataCenterReport report;
@@ -47,25 +48,25 @@
   AccountState state = AccountState::kWaiting;
   TimePoint start;
   TimePoint by;
-  // Until `by`; negative when it has passed.
+  // Time until `by`; negative if it has passed.
   Duration time_left{0};
   std::vector<AccountDataCenter> data_centers;
   VerdictReason reason = VerdictReason::kNone;
-  // One or more sentences for a person.
+  // One or more sentences for operators.
   std::string explanation;
-  // What the node that answers cannot know, one sentence each.
+  // What this node does not know, one sentence each.
   std::vector<std::string> unknown;
 };
 
-// One row for each move of the snapshot, ordered by start. A row says kDone
-// only when every data centre is heard and has said that it knows the verdict.
+// One row for each move of the snapshot, ordered by start. A row is kDone only
+// if every data centre is reachable and has reported that it knows the verdict.
 // Not thread safe.
 [[nodiscard]] std::vector<AccountRow> MakeAccount(const MovesState& state,
                                                   const Snapshot& snapshot,
                                                   const MoveCapacity& capacity,
                                                   TimePoint now);
 
-// For people, one block of lines for each move. Thread safe.
+// Plain text, one block of lines for each move. Thread safe.
 [[nodiscard]] std::string FormatAccountText(
     const std::vector<AccountRow>& account);
 
--- a/include/teaselspread/moves.h
+++ b/include/teaselspread/moves.h
@@ -1,11 +1,11 @@
 // Moves of traffic from an old upstream version to a new one.
 //
-// The share of the new version is the least of three: a schedule that reaches
-// full share in time, the evidence of good answers so far, and the slots that
-// are ready. A move ends with a verdict (verdict.h) that spreads as a rumour
-// and is kept in the log. Nothing here reads a clock or talks to anyone.
+// The share of the new version is the minimum of three limits: a schedule that
+// reaches full share in time, the evidence of good responses so far, and the
+// ready slots. A move ends with a verdict (verdict.h) that spreads as a rumour
+// and is kept in the log. Nothing here reads a clock or does I/O.
 //
-// A restarted node needs nothing of its own: its share follows from the merged
+// A restarted node needs no state of its own: its share follows from the merged
 // evidence and the clock, the time at full share from its data centre's report,
 // and the end of a move from the verdicts of its peers or of the log.
 #ifndef TEASELSPREAD_MOVES_H_
@@ -29,46 +29,48 @@
 
 struct MovesSettings {
   JudgeSettings judge;
-  // Least part of the requests that the new version begins with.
+  // Minimum share that the new version starts with.
   double min_first_share = 0.01;
-  // Most, however little traffic there is: the rest shows what the old version
-  // does at the same time.
+  // Maximum, even with little traffic, so that the old version gets requests to
+  // compare with at the same time.
   double max_first_share = 0.5;
-  // Requests that the first stage is meant to give to the new version.
+  // Requests that the new version should get in the first stage.
   double first_requests = 8;
-  // Part of the time between start and `by` less the watch that the ramp takes.
+  // Length of the ramp, as a fraction of the time from start to `by` minus the
+  // watch period.
   double ramp_fraction = 0.75;
-  // Good answers that a stage needs at most.
+  // Maximum number of good responses that a stage requires.
   double max_stage_responses = 150;
-  // Good answers that a stage needs even in a hurry, if they come within...
+  // Good responses that a short stage requires as well, if that many are
+  // expected within...
   double min_stage_responses = 30;
   // ... this time.
   Duration min_stage_window = std::chrono::seconds(5);
-  // Part of a stage's expected answers that must be there to go on.
+  // Fraction of a stage's expected responses that is required to go on.
   double stage_fraction = 0.5;
-  // Part of the new version's slots that may be in use.
+  // Fraction of the new version's slots that may be in use.
   double usable_slot_fraction = 0.85;
-  // A data centre is unheard when nothing came from it for so long.
+  // A data centre counts as silent after this time without a message from it.
   Duration silence_timeout = std::chrono::seconds(10);
-  // How often an unchanged report is sent again.
+  // Interval for resending an unchanged report.
   Duration report_interval = std::chrono::seconds(3);
-  // The same when the move has ended.
+  // The same after the move has ended.
   Duration ended_report_interval = std::chrono::seconds(30);
-  // Verdicts are written to the log again this often until seen there, ...
+  // Verdicts are appended to the log at this interval until seen there, ...
   Duration append_interval = std::chrono::seconds(5);
   // ... and again before the log's retention drops them.
   Duration reappend_after = std::chrono::hours(8);
 };
 
-// What the node knows of the deployment beside its evidence.
+// What the node knows about the deployment besides the evidence.
 struct MoveCapacity {
   // Slots ready in the own data centre, by service and version.
   std::map<std::pair<std::string, std::string>, int> ready_slots;
-  // When each other data centre was last heard.
+  // When a message of each other data centre last arrived.
   std::map<std::string, TimePoint> last_contact;
 };
 
-// What holds the share of a running move down.
+// What limits the share of a running move.
 enum class ShareLimit : std::uint8_t {
   kNone,
   kNotStarted,
@@ -84,10 +86,10 @@
 // Stable names for the account. Thread safe.
 [[nodiscard]] std::string_view NameOf(ShareLimit limit);
 
-// Requests per second and the slots that they fill, smoothed.
+// Smoothed request rate and mean time in a slot.
 struct Demand {
   bool known = false;
-  // Taken from the data centre's report after a restart.
+  // The rate comes from the data centre's report after a restart.
   bool from_report = false;
   TimePoint first_seen;
   TimePoint last_seen;
@@ -98,8 +100,8 @@
 };
 
 struct MoveState {
-  // From the snapshot; `from` and `to` stay as they were first seen, because
-  // evidence and verdicts under this id speak of those two.
+  // From the snapshot; `from` and `to` stay as first seen, because evidence and
+  // verdicts under this id are about those two versions.
   MoveConfig config;
   bool versions_changed = false;
   MoveStage stage = MoveStage::kRunning;
@@ -110,14 +112,15 @@
   Demand demand;
   JudgeState judge;
   Judgement judgement;
-  // Data centres that were silent not long ago.
+  // Data centres that were silent recently, with the time until which their
+  // rows are not compared.
   std::map<std::string, TimePoint> catching_up_until;
-  // Full share reached at, epoch if not.
+  // When full share was reached; epoch if it is not.
   TimePoint full_since;
   TimePoint reported_at;
   TimePoint verdict_spread_at;
   TimePoint appended_at;
-  // When the verdict was seen in the log, epoch if it was not.
+  // When the verdict was seen in the log; epoch if it was not.
   TimePoint logged_at;
 };
 
@@ -135,7 +138,7 @@
 enum class MoveActionKind : std::uint8_t {
   // Send the verdict to peers, inside the data centre and across.
   kSpreadVerdict,
-  // Append the verdict to the log. Doubles do no harm.
+  // Append the verdict to the log. Duplicates are harmless.
   kAppendVerdict,
   // Send the report to peers, inside the data centre and across.
   kSpreadReport,
@@ -147,46 +150,47 @@
   DataCenterReport report;
 };
 
-// One step, about once a second: takes in the snapshot and the evidence, sets
-// shares, judges, and returns what to send. Precondition: `now` does not go
-// back. Not thread safe.
+// One step, about once a second: judges the moves by the snapshot and the
+// evidence, sets the shares, and returns what to send. Precondition: `now` does
+// not go back. Not thread safe.
 [[nodiscard]] std::vector<MoveAction> StepMoves(MovesState& state,
                                                 const Snapshot& snapshot,
                                                 const EvidenceTable& evidence,
                                                 const MoveCapacity& capacity,
                                                 TimePoint now);
 
-// A verdict from a peer or from the log. True when it changed anything: then
-// spread it on. Takes effect at once. Not thread safe.
+// Merges a verdict from a peer or from the log; it takes effect at once.
+// Returns true if it changed anything: then forward it. Not thread safe.
 bool MergeVerdict(MovesState& state, const Verdict& verdict);
 
-// A verdict was read in the log: merges it, and stops appending one that is no
-// higher. Not thread safe.
+// Merges a verdict read from the log, and stops appending the own verdict if
+// its stage is not higher. Returns true if anything changed. Not thread safe.
 bool OnLoggedVerdict(MovesState& state, const Verdict& verdict, TimePoint now);
 
-// A report from a peer. True when it changed anything. Not thread safe.
+// Merges a report from a peer. Returns true if it changed anything. Not thread
+// safe.
 bool MergeReport(MovesState& state, const DataCenterReport& report);
 
-// Moves of the snapshot that have not ended: evidence is kept for these only.
+// Moves of the snapshot that have not ended; evidence is kept for these only.
 // Not thread safe.
 [[nodiscard]] std::set<std::string> LiveMoves(const MovesState& state,
                                               const Snapshot& snapshot);
 
-// The move for which an answer of this service and version counts; nullptr when
-// there is none. Valid until the snapshot goes. Not thread safe.
+// The running move of the service, for which its responses count; nullptr if
+// there is none. Valid as long as the snapshot. Not thread safe.
 [[nodiscard]] const MoveConfig* MoveOf(const MovesState& state,
                                        const Snapshot& snapshot,
                                        std::string_view service);
 
-// Part of the service's requests that `version` gets now, 0..1. The parts of
-// all versions add up to 1. Not thread safe.
+// Fraction of the service's requests that `version` gets now, 0..1. The
+// fractions of all versions add up to 1. Not thread safe.
 [[nodiscard]] double ShareOf(const MovesState& state,
                              const Snapshot& snapshot,
                              std::string_view service,
                              std::string_view version);
 
-// The version that should run the next request; empty for a service that the
-// snapshot does not have. Not thread safe.
+// The version for the next request; empty for a service that the snapshot does
+// not have. Not thread safe.
 [[nodiscard]] std::string PickVersion(const MovesState& state,
                                       const Snapshot& snapshot,
                                       std::string_view service,
--- a/include/teaselspread/verdict.h
+++ b/include/teaselspread/verdict.h
@@ -1,5 +1,5 @@
-// Verdicts on moves and the reports of the data centres: small values that only
-// climb, so that they may arrive late, twice and crossed.
+// Verdicts on moves and progress reports of the data centres. Both merge by a
+// lattice join, so late, duplicated and reordered messages do no harm.
 #ifndef TEASELSPREAD_VERDICT_H_
 #define TEASELSPREAD_VERDICT_H_
 
@@ -12,7 +12,7 @@
 
 namespace teaselspread {
 
-// The lattice: a verdict is replaced by a higher one only.
+// Ordered: a verdict is only replaced by one with a higher stage.
 enum class MoveStage : std::uint8_t { kRunning, kDone, kRolledBack };
 
 enum class VerdictReason : std::uint8_t {
@@ -38,10 +38,10 @@
   MoveStage stage = MoveStage::kRunning;
   VerdictReason reason = VerdictReason::kNone;
   TimePoint decided_at;
-  // Where and on which route it was seen; "*" for all routes together.
+  // Where and on which route the fault was seen; "*" for all routes together.
   std::string data_center;
   std::string route;
-  // What was compared, as ratios (failures, slow answers or shed ones).
+  // The compared ratios of failed, slow or shed responses.
   double new_ratio = 0;
   double old_ratio = 0;
   std::uint64_t new_runs = 0;
@@ -50,25 +50,25 @@
   bool operator==(const Verdict&) const = default;
 };
 
-// The join of two verdicts on one move: the higher stage, and of two equal
-// ones the earlier, so that every order of arrival ends at the same value.
+// The join of two verdicts on one move: the one with the higher stage or, if
+// equal, the earlier one, so that every order of arrival gives the same value.
 // Precondition: a.move == b.move. Thread safe.
 [[nodiscard]] const Verdict& JoinVerdicts(const Verdict& a, const Verdict& b);
 
-// How far one data centre has come with a move.
+// Progress of a move in one data centre.
 struct DataCenterReport {
   std::string move;
   std::string data_center;
   TimePoint reported_at;
-  // Part of its requests that go to the new version, 0..1.
+  // Fraction of its requests that go to the new version, 0..1.
   double share = 0;
-  // Its requests per second, for nodes that have just started.
+  // Its requests per second, used by nodes that have just started.
   double rate = 0;
-  // When it reached full share without falling back since; epoch if it has not.
+  // Start of the present time at full share; epoch if not at full share.
   TimePoint full_since;
-  // A whole watch period passed at full share without a fault. Never unset.
+  // A whole watch period passed at full share without a fault. Never reset.
   bool clean = false;
-  // Verdict that the data centre knows.
+  // Stage of the verdict that the data centre knows.
   MoveStage stage = MoveStage::kRunning;
   std::uint64_t new_runs = 0;
   std::uint64_t new_failures = 0;
@@ -78,16 +78,17 @@
   bool operator==(const DataCenterReport&) const = default;
 };
 
-// The join of two reports: the later one's figures, and every fact that either
-// of them holds for good. Precondition: same move and data centre. Thread safe.
+// The join of two reports: the values of the later one, but the higher `stage`
+// and counters and `clean` if set in either. Precondition: same move and data
+// centre. Thread safe.
 [[nodiscard]] DataCenterReport JoinReports(const DataCenterReport& a,
                                            const DataCenterReport& b);
 
-// For datagrams and for the log. Names are cut off after 32 bytes. Thread safe.
+// For datagrams and for the log. Names are truncated to 32 bytes. Thread safe.
 [[nodiscard]] std::string EncodeVerdict(const Verdict& verdict);
 [[nodiscard]] std::string EncodeReport(const DataCenterReport& report);
 
-// kFrameMalformed for anything that the encoders do not write. Thread safe.
+// Fail with kFrameMalformed on malformed input. Thread safe.
 [[nodiscard]] Result<Verdict> DecodeVerdict(std::string_view bytes);
 [[nodiscard]] Result<DataCenterReport> DecodeReport(std::string_view bytes);
 
--- a/src/edge/version_choice.cc
+++ b/src/edge/version_choice.cc
@@ -10,7 +10,7 @@
 namespace teaselspread {
 namespace {
 
-// Weights of a split between two versions, in thousandths.
+// Weights of the two versions are in thousandths.
 constexpr double kWeightScale = 1000;
 
 void LogProgress(const VersionTrial& trial, const char* why) {
@@ -71,15 +71,15 @@
     version.load += upstream.load;
     version.instances.push_back(upstream.instance);
   }
-  // Every node takes the same ones first.
+  // Sorted, so that every node uses the same instances first.
   for (auto& [service, versions] : this->ready) {
     for (auto& [name, version] : versions)
       std::sort(version.instances.begin(), version.instances.end());
   }
 }
 
-// A version that nobody ordered gets nothing while another serves: upstreams
-// of a new one may be up before the order to move is read.
+// The version with the most slots, so that a new version whose upstreams are
+// up before its order is read gets nothing while another one serves.
 std::string VersionChoice::MostReady(const Versions& versions,
                                      std::string_view excluded) {
   std::string best;
@@ -101,8 +101,8 @@
          unknown->second.slots >= known->second.slots;
 }
 
-// After a restart the first heartbeats may be those of a version that nobody
-// ordered yet, and the others are the ones that serve.
+// After a restart the first heartbeats may come from a version that was not
+// ordered yet, while the upstreams of still unknown version are in service.
 PickedVersion VersionChoice::PickWithoutOrder(const Versions& versions) {
   const std::string known = MostReady(versions, "");
   PickedVersion picked;
@@ -125,8 +125,8 @@
   return picked;
 }
 
-// What serves may be among the unknown ones: the new version gets no more than
-// its share, and nothing after it was taken back.
+// The version in service may be among the unknown ones: the new version must
+// not get more than its share, and nothing after a rollback.
 PickedVersion VersionChoice::PickWithoutOld(const VersionTrial& trial,
                                             const Versions& versions) {
   const std::string& to = trial.order.to;
@@ -149,7 +149,7 @@
   const std::array<std::uint32_t, 2> weights = {
       new_weight, static_cast<std::uint32_t>(kWeightScale) - new_weight};
   PickedVersion picked;
-  // A node that has moved sends nothing to the old version any more.
+  // A node that has moved no longer sends requests to the old version.
   picked.fallback_unknown = share < 1;
   if (NextTurn(this->turns[trial.order.service], weights) != 0) {
     picked.version = old;
@@ -198,7 +198,7 @@
       trial.from_peer = false;
       return;
     }
-    // A node that reads the store late meets older orders first.
+    // A node that reads the store late reads older orders first.
     const Duration age = SteadyNow() - trial.started_at;
     if (trial.from_peer && age < trial.order.duration)
       return;
@@ -236,34 +236,34 @@
 }
 
 void VersionChoice::OnPeerStatuses(const std::string& node,
-                                   const std::vector<TrialStatus>& notes) {
-  for (const TrialStatus& note : notes) {
-    if (this->IsNewOrder(note)) {
-      const auto duration = std::chrono::milliseconds(note.duration_ms);
-      this->BeginTrial({note.service, note.to, duration}, true);
+                                   const std::vector<TrialStatus>& statuses) {
+  for (const TrialStatus& status : statuses) {
+    if (this->IsNewOrder(status)) {
+      const auto duration = std::chrono::milliseconds(status.duration_ms);
+      this->BeginTrial({status.service, status.to, duration}, true);
     }
-    const auto found = this->trials.find(note.service);
-    if (found == this->trials.end() || found->second.order.to != note.to)
+    const auto found = this->trials.find(status.service);
+    if (found == this->trials.end() || found->second.order.to != status.to)
       continue;
     const MoveProgress before = found->second.progress;
-    MergeStatus(found->second, node, note, SteadyNow());
+    MergeStatus(found->second, node, status, SteadyNow());
     if (found->second.progress != before)
       LogProgress(found->second, "peer");
   }
 }
 
-// A node that is cut off from the store cannot read orders. Without those that
-// its peers tell it would send all its requests to the old version, and no move
-// could be done until it is back.
-bool VersionChoice::IsNewOrder(const TrialStatus& note) const {
-  const auto found = this->trials.find(note.service);
+// A node that is cut off from the store cannot read orders. Without the orders
+// from its peers it would send all its requests to the old version, and no move
+// could be done until it is connected again.
+bool VersionChoice::IsNewOrder(const TrialStatus& status) const {
+  const auto found = this->trials.find(status.service);
   if (found == this->trials.end())
-    return note.duration_ms > 0;
+    return status.duration_ms > 0;
   const VersionTrial& own = found->second;
   const Duration own_age = SteadyNow() - own.started_at;
-  return own.order.to != note.to && note.progress == MoveProgress::kRunning &&
-         note.duration_ms > 0 &&
-         std::chrono::milliseconds(note.age_ms) < own_age;
+  return own.order.to != status.to &&
+         status.progress == MoveProgress::kRunning && status.duration_ms > 0 &&
+         std::chrono::milliseconds(status.age_ms) < own_age;
 }
 
 void VersionChoice::ForgetNode(const std::string& node) {
@@ -275,13 +275,13 @@
 
 void VersionChoice::OnResponse(std::string_view service,
                                std::string_view version,
-                               const TrialResponse& answer) {
+                               const TrialResponse& response) {
   const auto found = this->trials.find(std::string(service));
-  // An answer of an unknown version speaks for none.
+  // A response of an unknown version is no evidence.
   if (version.empty() || found == this->trials.end() ||
       found->second.progress != MoveProgress::kRunning)
     return;
-  TrialResponse counted = answer;
+  TrialResponse counted = response;
   counted.from_new_version = version == found->second.order.to;
   RecordTrialResponse(found->second, counted);
 }
@@ -308,10 +308,10 @@
 }
 
 std::vector<TrialStatus> VersionChoice::Statuses() const {
-  std::vector<TrialStatus> notes;
+  std::vector<TrialStatus> statuses;
   for (const auto& [service, trial] : this->trials)
-    notes.push_back(StatusOf(trial, SteadyNow()));
-  return notes;
+    statuses.push_back(StatusOf(trial, SteadyNow()));
+  return statuses;
 }
 
 void VersionChoice::MarkReported(const std::string& service,
--- a/src/edge/version_choice.h
+++ b/src/edge/version_choice.h
@@ -1,7 +1,7 @@
-// Which version of a service the next request goes to, and what becomes of the
+// Chooses the version of a service for each request and runs the trials of the
 // moves that operators ordered.
 //
-// Everything here belongs to the thread that runs the loop.
+// Used only on the thread that runs the event loop.
 #ifndef TEASELSPREAD_SRC_EDGE_VERSION_CHOICE_H_
 #define TEASELSPREAD_SRC_EDGE_VERSION_CHOICE_H_
 
@@ -20,31 +20,31 @@
 
 namespace teaselspread {
 
-// One upstream that is ready, somewhere.
+// One ready upstream, beside any node.
 struct ReadyUpstream {
   std::string service;
   std::string version;
   std::string instance;
   std::uint32_t slots = 0;
-  // Requests there and waiting for it.
+  // Requests that run there or wait for it.
   std::uint32_t load = 0;
 };
 
-// What `Pick` chose.
+// The result of `Pick`.
 struct PickedVersion {
   // Empty when no known version is chosen.
   std::string version;
-  // Processes that may get the request; empty means any of the version.
+  // Upstream instances that may get the request; empty: any of the version.
   std::vector<std::string> instances;
-  // Upstreams whose version is not known yet may get it too.
+  // Upstreams whose version is not known yet may get it, too.
   bool allow_unknown = false;
-  // When all of the above are used up: a version that may get the request,
-  // empty means none, and whether upstreams of unknown version may.
+  // If none of the above can take the request: another version that may get it
+  // (empty: none), and whether upstreams of unknown version may.
   std::string fallback;
   bool fallback_unknown = false;
 };
 
-// How well an upstream fits what was chosen.
+// How an upstream matches the picked version.
 enum class VersionFit : std::uint8_t { kPreferred, kFallback, kNone };
 
 // Thread safe.
@@ -55,19 +55,20 @@
 // Not thread safe.
 class VersionChoice {
  public:
-  // Tells this life of the node from others. Call once, before the first order.
+  // Sets a value that differs after each restart of the node. Call once, before
+  // the first order.
   void SetIncarnation(std::uint64_t own) { this->incarnation = own; }
 
-  // What is ready now.
+  // Replaces the list of ready upstreams.
   void SetReady(const std::vector<ReadyUpstream>& ready);
 
   // The version for the next request.
   [[nodiscard]] PickedVersion Pick(const std::string& service);
 
-  // A first order, or one to another version than before, begins a trial. One
-  // that another node has told already only confirms it.
+  // An order read from the store. A first order, or one to another version than
+  // before, begins a trial; one already known from a peer is only confirmed.
   void OnOrder(const MoveOrder& order);
-  // What the store says of a move; ends a trial that it names.
+  // The state of a move as recorded in the store; a verdict ends its trial.
   void OnReport(const MoveReport& report);
   void OnPeerStatuses(const std::string& node,
                       const std::vector<TrialStatus>& notes);
@@ -77,14 +78,14 @@
                   std::string_view version,
                   const TrialResponse& answer);
 
-  // Judges; `nodes` are the others in touch.
+  // Judges the trials; `nodes` are the other nodes that are connected.
   void Step(const std::vector<std::string>& nodes);
 
   [[nodiscard]] std::vector<TrialStatus> Statuses() const;
   [[nodiscard]] const std::map<std::string, VersionTrial>& Trials() const {
     return this->trials;
   }
-  // The store holds what this node believes of the move.
+  // Notes that the store holds `progress`, if that is this node's own view.
   void MarkReported(const std::string& service, MoveProgress progress);
 
  private:
@@ -96,17 +97,17 @@
   using Versions = std::map<std::string, Version, std::less<>>;
 
   void BeginTrial(const MoveOrder& order, bool from_peer);
-  // Whether a peer's note names an order that this node has not read.
+  // Whether a peer's status names an order that this node has not read.
   [[nodiscard]] bool IsNewOrder(const TrialStatus& note) const;
   [[nodiscard]] static std::string MostReady(const Versions& versions,
                                              std::string_view but);
-  // Whether the slots of unknown version are as many as those of `version`.
+  // Whether unknown versions have at least as many slots as `version`.
   [[nodiscard]] static bool MostlyUnknown(const Versions& versions,
                                           std::string_view version);
   [[nodiscard]] static PickedVersion PickWithoutOrder(const Versions& versions);
   [[nodiscard]] static PickedVersion PickAfterMove(const std::string& to,
                                                    const Versions& versions);
-  // While no old version is known to be ready.
+  // The choice while no old version is known to be ready.
   [[nodiscard]] static PickedVersion PickWithoutOld(const VersionTrial& trial,
                                                     const Versions& versions);
   [[nodiscard]] PickedVersion PickByShare(const VersionTrial& trial,
@@ -117,10 +118,10 @@
 
   std::map<std::string, Versions, std::less<>> ready;
   std::map<std::string, VersionTrial> trials;
-  // Turns between the old and the new version, by service.
+  // Weighted turns between the old and the new version, by service.
   std::map<std::string, WeightedTurns> turns;
   std::uint64_t incarnation = 0;
-  // What the store said before an order was read.
+  // Latest report of the store by service, also before the order is read.
   std::map<std::string, MoveReport> reports;
 };
 
--- a/src/moves/account.cc
+++ b/src/moves/account.cc
@@ -92,8 +92,8 @@
       v.from);
 }
 
-// The judge's scope in words: a route, "*" for all, and "everywhere" in front
-// when the answers of all data centres were put together.
+// The judge's scope as text. The scope is a route or "*" for all routes, with
+// the prefix "everywhere" if the responses of all data centres were summed.
 std::string FormatLocation(const Verdict& v) {
   constexpr std::string_view kEverywhere = "everywhere";
   std::string route = v.route;
--- a/src/moves/effect.cc
+++ b/src/moves/effect.cc
@@ -15,7 +15,7 @@
     kLimitNames = {"none",     "not-started", "earlier-move", "schedule",
                    "evidence", "capacity",    "suspicion",    "hold"};
 
-// Moves of one service in the order in which they govern it.
+// Moves of one service in the order in which they take effect.
 std::vector<const MoveConfig*> MovesOf(const Snapshot& snapshot,
                                        std::string_view service) {
   std::vector<const MoveConfig*> moves;
@@ -30,7 +30,7 @@
   return moves;
 }
 
-// The version in effect and, while a move runs, the one that it goes to.
+// The version in effect and the running move, if any.
 struct EffectiveVersion {
   std::string version;
   const MoveConfig* running = nullptr;
@@ -93,7 +93,7 @@
   const Verdict joined = JoinVerdicts(found->second, verdict);
   if (joined == found->second)
     return false;
-  // A higher stage has to reach the log on its own.
+  // A higher stage has to be appended to the log as well.
   if (joined.stage != found->second.stage) {
     if (const auto move = state.moves.find(verdict.move);
         move != state.moves.end()) {
--- a/src/moves/effect.h
+++ b/src/moves/effect.h
@@ -1,4 +1,4 @@
-// Which move of a service governs, and what the verdicts make of it.
+// Which move of a service is in effect, given the verdicts.
 #ifndef TEASELSPREAD_MOVES_EFFECT_H_
 #define TEASELSPREAD_MOVES_EFFECT_H_
 
@@ -8,12 +8,12 @@
 
 namespace teaselspread::moves {
 
-// The stage by the verdicts known here; kRunning without one.
+// The stage according to the known verdicts; kRunning without one.
 [[nodiscard]] MoveStage StageOf(const MovesState& state,
                                 const std::string& move);
 
-// An earlier move of the same service has not ended. Two moves of one service
-// at once would compare three versions, of which the judge knows two.
+// Whether an earlier move of the same service has not ended. Moves of a service
+// run one after the other, as the judge compares two versions only.
 [[nodiscard]] bool WaitsForEarlier(const MovesState& state,
                                    const Snapshot& snapshot,
                                    const MoveConfig& move);
--- a/src/moves/evidence.cc
+++ b/src/moves/evidence.cc
@@ -10,7 +10,7 @@
 
 constexpr double kFirstBoundMicros = 500.0;  // microseconds
 constexpr double kBucketsPerDoubling = 2.5;
-// An upstream that vanishes later than this did not crash on start.
+// Exits after a longer time ready do not count as a crash on start.
 constexpr Duration kMaxEarlyExitLifetime = std::chrono::seconds(30);
 
 EvidenceCounters* FindOrAdd(EvidenceTable& table, const EvidenceKey& key) {
@@ -27,12 +27,12 @@
   return &stored.counters;
 }
 
-void CountLatency(EvidenceCounters& cells, const ResponseSample& sample) {
-  if (sample.cold && cells.cold < kMaxColdResponses) {
-    ++cells.cold;
+void CountLatency(EvidenceCounters& counters, const ResponseSample& sample) {
+  if (sample.cold && counters.cold < kMaxColdResponses) {
+    ++counters.cold;
     return;
   }
-  ++cells.latency.at(LatencyBucketIndex(sample.latency));
+  ++counters.latency.at(LatencyBucketIndex(sample.latency));
 }
 
 template <class T>
@@ -44,23 +44,23 @@
 }
 
 bool MergeCounters(EvidenceCounters& mine, const EvidenceCounters& theirs) {
-  bool grew = RaiseTo(mine.runs, theirs.runs);
-  grew |= RaiseTo(mine.failures, theirs.failures);
-  grew |= RaiseTo(mine.shed, theirs.shed);
-  grew |= RaiseTo(mine.crash_suspects, theirs.crash_suspects);
-  grew |= RaiseTo(mine.cold, theirs.cold);
-  grew |= RaiseTo(mine.starts, theirs.starts);
-  grew |= RaiseTo(mine.early_exits, theirs.early_exits);
+  bool changed = RaiseTo(mine.runs, theirs.runs);
+  changed |= RaiseTo(mine.failures, theirs.failures);
+  changed |= RaiseTo(mine.shed, theirs.shed);
+  changed |= RaiseTo(mine.crash_suspects, theirs.crash_suspects);
+  changed |= RaiseTo(mine.cold, theirs.cold);
+  changed |= RaiseTo(mine.starts, theirs.starts);
+  changed |= RaiseTo(mine.early_exits, theirs.early_exits);
   for (std::size_t i = 0; i < kLatencyBuckets; ++i)
-    grew |= RaiseTo(mine.latency[i], theirs.latency[i]);
-  return grew;
+    changed |= RaiseTo(mine.latency[i], theirs.latency[i]);
+  return changed;
 }
 
 bool Matches(std::string_view wanted, const std::string& value) {
   return wanted.empty() || wanted == value;
 }
 
-// Most buckets of a row are empty: a bit for each says which ones follow.
+// Most buckets of a row are empty, so a bit mask marks the encoded ones.
 constexpr std::size_t kMaskBytes = (kLatencyBuckets + 7) / 8;
 using BucketMask = std::array<std::uint8_t, kMaskBytes>;
 
@@ -127,24 +127,24 @@
 void RecordResponse(EvidenceTable& table,
                     const EvidenceKey& key,
                     const ResponseSample& sample) {
-  EvidenceCounters* cells = FindOrAdd(table, key);
-  if (cells == nullptr)
+  EvidenceCounters* counters = FindOrAdd(table, key);
+  if (counters == nullptr)
     return;
   switch (sample.outcome) {
     case ResponseOutcome::kCrashSuspect:
-      ++cells->crash_suspects;
+      ++counters->crash_suspects;
       return;
     case ResponseOutcome::kShed:
-      ++cells->shed;
+      ++counters->shed;
       return;
     case ResponseOutcome::kFailed:
     case ResponseOutcome::kTimeout:
-      ++cells->runs;
-      ++cells->failures;
+      ++counters->runs;
+      ++counters->failures;
       return;
     case ResponseOutcome::kSucceeded:
-      ++cells->runs;
-      CountLatency(*cells, sample);
+      ++counters->runs;
+      CountLatency(*counters, sample);
       return;
   }
 }
--- a/src/moves/feeds.cc
+++ b/src/moves/feeds.cc
@@ -5,7 +5,8 @@
 namespace teaselspread::moves {
 namespace {
 
-// Below this rate a data centre cannot judge by its own answers alone.
+// Requests per second below which the responses of one data centre alone do not
+// suffice for a judgement.
 constexpr double kLowTrafficRate = 5;
 bool IsCatchingUp(const MoveState& move,
                   const std::string& data_center,
--- a/src/moves/feeds.h
+++ b/src/moves/feeds.h
@@ -1,4 +1,4 @@
-// The evidence as the judge takes it in, by scope and data centre.
+// Totals of the evidence by scope and data centre, as input of the judge.
 #ifndef TEASELSPREAD_MOVES_FEEDS_H_
 #define TEASELSPREAD_MOVES_FEEDS_H_
 
@@ -6,16 +6,16 @@
 
 namespace teaselspread::moves {
 
-// Notes which data centres have just come back after a silence. Their rows
-// bring minutes of answers at once, of which only the sums are known.
+// Marks silent data centres and those that were silent recently. Their rows
+// bring minutes of responses at once, of which only the sums are known.
 void UpdateCatchingUp(MoveState& move,
                       const StepInput& in,
                       Duration silence_timeout);
 
-// Answers by route in the own data centre and everywhere. The sums over all
-// data centres count only with little traffic, when none of them sees enough by
-// itself: the shares of the data centres differ, and a fault of one of them
-// that both versions share would look like one of the version that has more of
+// Responses by route in the own data centre and in all. The sums over all data
+// centres count only with little traffic, when no data centre has enough by
+// itself: as the shares of the data centres differ, a fault of one of them that
+// affects both versions would look like a fault of the version that has more of
 // its traffic there.
 [[nodiscard]] std::vector<ScopeTotals> ScopeTotalsOf(const MovesState& state,
                                                      const MoveState& move,
--- a/src/moves/judge.cc
+++ b/src/moves/judge.cc
@@ -12,11 +12,12 @@
     VerdictReason::kFailures, VerdictReason::kLatency,
     VerdictReason::kShedding};
 
-// Part of the hold that a score without answers of the old version, or with
-// hardly any bad ones, reaches.
+// Cap, as a fraction of the hold score, on scores without responses of the old
+// version or with too few bad responses.
 constexpr double kUnconfirmedCapFraction = 0.9;
 
-// What the score may lead to.
+// The score, capped below a hold unless it is controlled and has enough bad
+// responses.
 double CappedScore(const moves::ScopeScore& scored,
                    const JudgeSettings& settings) {
   const bool enough = scored.bad_responses >= settings.min_bad_responses;
@@ -25,12 +26,12 @@
   return std::min(scored.score, settings.hold_score * kUnconfirmedCapFraction);
 }
 
-// Answers of the old version wherever the judge looks.
-std::uint64_t MaxOldRuns(const std::vector<ScopeTotals>& feeds) {
+// Responses of the old version in the counted scope that has the most.
+std::uint64_t MaxOldRuns(const std::vector<ScopeTotals>& scope_totals) {
   std::uint64_t runs = 0;
-  for (const ScopeTotals& feed : feeds) {
-    if (feed.counted)
-      runs = std::max(runs, feed.totals.old_version.runs);
+  for (const ScopeTotals& scope : scope_totals) {
+    if (scope.counted)
+      runs = std::max(runs, scope.totals.old_version.runs);
   }
   return runs;
 }
@@ -48,8 +49,8 @@
   return held >= settings.min_hold && (confirmed || !old_serves);
 }
 
-// A doubt outlives the score that raised it: its purpose is to bring answers
-// of both versions side by side.
+// Returns whether the new version is suspected. A suspicion outlasts the score
+// that raised it, so that responses of both versions can be compared.
 bool UpdateSuspicion(JudgeState& state,
                      const JudgeSettings& settings,
                      double score,
@@ -110,20 +111,20 @@
         moves::MakeLikelihoodTable(static_cast<Metric>(m), bounds);
 }
 
-// What a restarted node hears first is the whole past in one piece, of which
-// nothing can be said of which answers came at the same time.
+// A restarted node first receives all past responses at once, without knowing
+// which of them are from the same time. Until settled they only go to history.
 void ObserveScopes(JudgeState& state,
                    const JudgeSettings& settings,
-                   const std::vector<ScopeTotals>& feeds,
+                   const std::vector<ScopeTotals>& scope_totals,
                    TimePoint now) {
   if (state.started_at == TimePoint())
     state.started_at = now;
   const bool settled = now - state.started_at >= settings.settling_time;
-  for (const ScopeTotals& feed : feeds) {
-    ScopeState& scope = state.scopes[feed.scope];
+  for (const ScopeTotals& totals : scope_totals) {
+    ScopeState& scope = state.scopes[totals.scope];
     if (scope.last_totals.empty())
       scope.current_since = now;
-    moves::ObserveTotals(scope, feed, settled && feed.counted);
+    moves::ObserveTotals(scope, totals, settled && totals.counted);
   }
 }
 
@@ -138,10 +139,11 @@
   const bool held = state.held_since != TimePoint();
   UpdateBounds(state, bounds);
   ObserveScopes(state, settings, feeds, now);
-  const moves::ScoringContext rules{settings, state.bounds, state.tables};
+  const moves::ScoringContext context{settings, state.bounds, state.tables};
   Judgement strongest;
   for (auto& [name, scope] : state.scopes) {
-    const moves::ScopeScore scored = moves::StepScope(scope, rules, !held, now);
+    const moves::ScopeScore scored =
+        moves::StepScope(scope, context, !held, now);
     const double score = CappedScore(scored, settings);
     if (score <= strongest.score)
       continue;
@@ -153,8 +155,8 @@
   }
   strongest.finding = UpdateFinding(state, settings, strongest,
                                     MaxOldRuns(feeds), old_serves, now);
-  // During the hold only the old version answered, so that its answers no
-  // longer belong to the same time.
+  // Only the old version was used during the hold, so its responses are not
+  // from the same time as those of the new version.
   if (held && state.held_since == TimePoint()) {
     for (auto& [name, scope] : state.scopes)
       moves::DropUnsummedStrata(scope, now);
@@ -163,12 +165,12 @@
 }
 
 bool CrashesOnStart(const JudgeSettings& settings,
-                    const EvidenceCounters& fresh,
-                    const EvidenceCounters& old) {
-  if (fresh.early_exits < settings.min_early_exits)
+                    const EvidenceCounters& new_version,
+                    const EvidenceCounters& old_version) {
+  if (new_version.early_exits < settings.min_early_exits)
     return false;
-  return fresh.early_exits * 2 >= fresh.starts &&
-         fresh.early_exits > 4ULL * old.early_exits;
+  return new_version.early_exits * 2 >= new_version.starts &&
+         new_version.early_exits > 4ULL * old_version.early_exits;
 }
 
 }  // namespace teaselspread
--- a/src/moves/ratio_test.cc
+++ b/src/moves/ratio_test.cc
@@ -6,12 +6,12 @@
 namespace teaselspread::moves {
 namespace {
 
-// Ratios that a shared fault may have.
+// Ratios at which a shared fault is evaluated.
 constexpr std::array<double, kSharedRatios> kSharedRatioGrid = {
     0.001, 0.003, 0.01, 0.03, 0.06, 0.12, 0.2, 0.35, 0.5, 0.65, 0.8, 0.95};
 constexpr double kMaxRatio = 0.98;
 constexpr double kMinRatio = 1e-4;
-// Terms so far below the largest add nothing to a double.
+// Terms this far below the largest do not change a sum of doubles.
 constexpr double kNegligibleLogGap = 36;
 
 struct FaultSizes {
@@ -19,10 +19,10 @@
   std::array<double, kAlternatives> fault_increases{};
 };
 
-// The bounds are where the test is indifferent: a fault of twice and a half the
-// added ratio against a quarter of it balance near the bound itself. A slow
-// answer is one beyond the old median times the bound, so that half of them
-// being slow means a median at the bound.
+// At the bounds the test is neutral: an increase of 2.5 times the bound and a
+// tolerated increase of a quarter of it are equally likely near the bound. A
+// response is slow above the old median times the bound, so if half of the
+// responses are slow, the median is at the bound.
 FaultSizes FaultSizesOf(Metric metric, const MoveBounds& bounds) {
   switch (metric) {
     case Metric::kFailures:
@@ -54,7 +54,7 @@
   return tally.bad * chance.bad + (tally.total - tally.bad) * chance.good;
 }
 
-// Logarithm of a sum of exponentials, the largest taken out first.
+// Logarithm of a sum of exponentials, scaled by the largest term.
 using LogTerms = std::array<double, kSharedRatios + 2>;
 double LogSumExp(const LogTerms& terms) {
   const double largest = *std::max_element(terms.begin(), terms.end());
@@ -88,8 +88,9 @@
     return ratios;
   const double log_shared_weight =
       std::log(shared_weight / (kSharedRatios + 1));
-  // The ratio of both together: between the points of the grid many answers fit
-  // none of them, and would speak for whatever lies nearer.
+  // The pooled ratio of both versions is evaluated, too: with many responses a
+  // ratio between two grid points fits neither, and the hypothesis with the
+  // nearer point would win.
   const double pooled_ratio = (pair.new_version.bad + pair.old_version.bad) /
                               (pair.new_version.total + pair.old_version.total);
   const std::array<RatioPoint, 2> data_points = {
--- a/src/moves/ratio_test.h
+++ b/src/moves/ratio_test.h
@@ -1,4 +1,4 @@
-// The likelihood ratio of one stratum, with its logarithms worked out before.
+// The likelihood ratio of one stratum, with precomputed logarithms.
 #ifndef TEASELSPREAD_MOVES_RATIO_TEST_H_
 #define TEASELSPREAD_MOVES_RATIO_TEST_H_
 
@@ -6,13 +6,13 @@
 
 namespace teaselspread::moves {
 
-// The tables of one metric for these bounds.
+// The table of one metric for these bounds.
 [[nodiscard]] LikelihoodTable MakeLikelihoodTable(Metric metric,
                                                   const MoveBounds& bounds);
 
-// Logarithm of the likelihood ratio of each alternative; zeros without an
-// answer of the new version. `history` is the old version's ratio before the
-// stratum, `shared_weight` the weight of any other ratio, 0..1.
+// Logarithm of the likelihood ratio of each alternative; zeros without a
+// response of the new version. `history` is the old version's ratio before the
+// stratum, `shared_weight` the prior weight of all other ratios, 0..1.
 [[nodiscard]] std::array<double, kAlternatives> LogLikelihoodRatios(
     const VersionTallies& pair,
     double history,
--- a/src/moves/reports.cc
+++ b/src/moves/reports.cc
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr double kFullShare = 0.999;
-// A report is sent early when the share has changed by this much.
+// A report is sent at once when the share has changed by this much.
 constexpr double kMinReportedShareChange = 0.05;
-// The last report of the own data centre, if it is recent: what a restarted
-// node goes on from.
+// The last report of the own data centre if it is recent, from which a
+// restarted node resumes.
 const DataCenterReport* RecentOwnReport(const MovesState& state,
                                         const MoveState& move,
                                         TimePoint now) {
@@ -27,7 +27,7 @@
          move.judgement.finding == Finding::kNone;
 }
 
-// Sends the report when it says something new or is due again.
+// Sends the report if it has changed or the interval has passed.
 void SendReport(MovesState& state,
                 MoveState& move,
                 DataCenterReport report,
@@ -46,8 +46,8 @@
   actions.push_back({MoveActionKind::kSpreadReport, {}, stored});
 }
 
-// A data centre that is heard does not know the verdict yet: the rumour was
-// lost, or it was cut off when the verdict fell.
+// Whether a reachable data centre does not know the verdict yet, because the
+// rumour was lost or the data centre was cut off at the time.
 bool AnyDataCenterLags(const MovesState& state,
                        const MoveState& move,
                        const StepInput& in) {
--- a/src/moves/reports.h
+++ b/src/moves/reports.h
@@ -1,4 +1,4 @@
-// What a data centre tells the others of a move, and what it makes of theirs.
+// Reports that data centres exchange about a move, and their evaluation.
 #ifndef TEASELSPREAD_MOVES_REPORTS_H_
 #define TEASELSPREAD_MOVES_REPORTS_H_
 
@@ -6,11 +6,11 @@
 
 namespace teaselspread::moves {
 
-// Takes the demand of the own data centre's last report until the node has seen
-// enough itself: a restarted node does not start the ramp again.
+// Takes the demand from the own data centre's last report until the node has
+// measured its own, so that a restarted node does not start the ramp again.
 void RestoreDemand(const MovesState& state, MoveState& move, TimePoint now);
 
-// Notes since when the share is full.
+// Updates the time since which the share is full.
 void UpdateFullShare(MovesState& state, MoveState& move, TimePoint now);
 
 void ReportRunning(MovesState& state,
@@ -19,20 +19,21 @@
                    TimePoint now,
                    Actions& actions);
 
-// The figures stay as they were last: the evidence is dropped with the end.
+// Keeps the last counters, as the evidence is dropped when the move ends.
 void ReportEnded(MovesState& state,
                  MoveState& move,
                  TimePoint now,
                  Actions& actions);
 
-// Spreads the verdict again, often while a data centre that is heard does not
-// know it.
+// Sends the verdict again, at a short interval while a data centre that is
+// reachable does not know it.
 void RespreadVerdict(const MovesState& state,
                      MoveState& move,
                      const StepInput& in,
                      Actions& actions);
 
-// Every data centre is heard and had full share and a clean watch.
+// Every data centre has reported recently and had a clean watch period at full
+// share.
 [[nodiscard]] bool EveryDataCenterIsClean(const MovesState& state,
                                           const MoveState& move,
                                           const StepInput& in);
--- a/src/moves/schedule.cc
+++ b/src/moves/schedule.cc
@@ -6,21 +6,22 @@
 namespace teaselspread::moves {
 namespace {
 
-// Stages of the shortest first share; only used to size the first stage.
+// Number of stages for the minimum first share; used only to estimate the
+// length of the first stage.
 constexpr double kTypicalStages = 7;
-// Smoothing of the demand. Long, since one request in twenty seconds is normal
-// at the smallest services.
+// Time constant for smoothing the demand. Long, since the smallest services
+// normally get one request in twenty seconds.
 constexpr double kDemandSmoothingSeconds = 60;
-// Time in which the rows of peers reach a node that has just started.
+// Time in which the rows of peers reach a node after its start.
 constexpr Duration kRowArrivalTime = std::chrono::seconds(5);
-// Time of watching before a demand of nearly nothing is believed.
+// Time of measuring before the demand counts as known, even if it is near zero.
 constexpr Duration kMinDemandWindow = std::chrono::seconds(10);
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-// Middle of a bucket by its upper bound: 2^-0.2.
+// Geometric middle of a bucket relative to its upper bound: 2^-0.2.
 constexpr double kBucketMidpointFactor = 0.87;
 
 // Mean of the counted latencies, in seconds.
@@ -60,9 +61,9 @@
     return 0;
   if (now - start >= ramp.length)
     return 1;
-  // In steps, so that the two versions are compared at one share for a while,
-  // and below full share as long as there is time: full share shows nothing of
-  // the old version.
+  // The share rises in steps, so that the versions are compared at a constant
+  // share for some time, and stays below 1 until the ramp ends, as the old
+  // version gives no responses to compare with at full share.
   const auto stage = (now - start) / ramp.stage_length;
   return std::min(1.0, ramp.first_share * std::exp2(stage));
 }
@@ -95,7 +96,7 @@
                      int new_slots,
                      int old_slots) {
   // A data centre without upstreams of either version and without requests has
-  // nothing to move, and must not hold the others back.
+  // nothing to move and must not delay the others.
   if (new_slots == 0 && old_slots == 0 && demand.runs == 0)
     return 1;
   const double in_use = demand.rate * demand.mean_slot_seconds;
@@ -118,9 +119,9 @@
   const double grown = both.runs > demand.runs
                            ? static_cast<double>(both.runs - demand.runs)
                            : 0;
-  // The rows of the past come in after a start; they are no traffic of now.
+  // Rows that arrive just after a start hold past responses, not new traffic.
   if (now - demand.first_seen >= kRowArrivalTime) {
-    // A plain mean at first, an exponential one later.
+    // A plain mean at first, an exponential moving average later.
     const double seen =
         Seconds(now - demand.first_seen - kRowArrivalTime) + passed;
     const double age = demand.from_report
--- a/src/moves/schedule.h
+++ b/src/moves/schedule.h
@@ -1,5 +1,5 @@
-// How much traffic the new version may get by the clock, by the evidence and by
-// the slots that are ready.
+// Limits of the new version's share: by the clock, by the evidence and by the
+// ready slots.
 #ifndef TEASELSPREAD_MOVES_SCHEDULE_H_
 #define TEASELSPREAD_MOVES_SCHEDULE_H_
 
@@ -9,7 +9,7 @@
 
 namespace teaselspread::moves {
 
-// The ramp of one move in one data centre: shares that double per stage.
+// The ramp of one move in one data centre: the share doubles at each stage.
 struct Ramp {
   double first_share = 0.01;
   int stages = 1;
@@ -26,7 +26,7 @@
                                    TimePoint start,
                                    TimePoint now);
 
-// Share that so many good answers of the new version allow.
+// Share that `good` good responses of the new version allow.
 [[nodiscard]] double EvidenceShare(const MovesSettings& settings,
                                    const Ramp& ramp,
                                    const Demand& demand,
@@ -38,7 +38,7 @@
                                    int new_slots,
                                    int old_slots);
 
-// Takes in the totals of both versions of the own data centre.
+// Updates the demand by the totals of both versions in the own data centre.
 void UpdateDemand(Demand& demand, const EvidenceCounters& both, TimePoint now);
 
 }  // namespace teaselspread::moves
--- a/src/moves/scope_judge.cc
+++ b/src/moves/scope_judge.cc
@@ -8,21 +8,21 @@
 namespace teaselspread::moves {
 namespace {
 
-// Answers of the old version without which its median says nothing.
+// Minimum number of old responses for a meaningful median.
 constexpr std::uint64_t kMinMedianResponses = 8;
-// Answers by which a version without history is taken to be good.
+// Number of good responses assumed as a prior for the old version's history.
 constexpr double kPriorResponses = 50;
-// Fewest answers of the old version beside those of the new one.
+// Minimum number of old responses in a stratum for a comparison.
 constexpr std::uint64_t kMinControlResponses = 2;
 
-std::uint64_t LatencyCount(const EvidenceCounters& cells) {
+std::uint64_t LatencyCount(const EvidenceCounters& counters) {
   std::uint64_t count = 0;
-  for (std::uint32_t in_bucket : cells.latency)
+  for (std::uint32_t in_bucket : counters.latency)
     count += in_bucket;
   return count;
 }
 
-// What `now` has more than `before`.
+// Growth of the counters from `before` to `now`.
 EvidenceCounters Growth(const EvidenceCounters& now,
                         const EvidenceCounters& before) {
   EvidenceCounters grown;
@@ -35,31 +35,33 @@
   return grown;
 }
 
-Tally TallySlow(const EvidenceCounters& cells, std::size_t bucket) {
+Tally TallySlow(const EvidenceCounters& counters, std::size_t bucket) {
   Tally tally;
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
-    tally.total += cells.latency[i];
+    tally.total += counters.latency[i];
     if (i > bucket)
-      tally.bad += cells.latency[i];
+      tally.bad += counters.latency[i];
   }
   return tally;
 }
 
-Tally TallyOf(const EvidenceCounters& cells, Metric metric, std::size_t slow) {
+Tally TallyOf(const EvidenceCounters& counters,
+              Metric metric,
+              std::size_t slow) {
   switch (metric) {
     case Metric::kFailures:
-      return {static_cast<double>(cells.runs),
-              static_cast<double>(cells.failures)};
+      return {static_cast<double>(counters.runs),
+              static_cast<double>(counters.failures)};
     case Metric::kLatency:
-      return TallySlow(cells, slow);
+      return TallySlow(counters, slow);
     default:
-      return {static_cast<double>(cells.runs + cells.shed),
-              static_cast<double>(cells.shed)};
+      return {static_cast<double>(counters.runs + counters.shed),
+              static_cast<double>(counters.shed)};
   }
 }
 
-// Answers in later buckets are slow; none is while the old version's median is
-// unknown.
+// Responses in later buckets are slow. Without a known median of the old
+// version no response counts as slow.
 std::size_t SlowBucket(const ScopeState& scope, double slowdown) {
   if (LatencyCount(scope.history) < kMinMedianResponses)
     return kLatencyBuckets;
@@ -77,15 +79,15 @@
                           const VersionTotals& stratum,
                           Metric metric,
                           std::size_t slow,
-                          const ScoringContext& rules) {
+                          const ScoringContext& context) {
   const Tally past = TallyOf(scope.history, metric, slow);
   const double history = (past.bad + 0.5) / (past.total + kPriorResponses);
   StratumScore score;
   score.tallies = {TallyOf(stratum.new_version, metric, slow),
                    TallyOf(stratum.old_version, metric, slow)};
-  score.scores =
-      LogLikelihoodRatios(score.tallies, history, rules.settings.shared_weight,
-                          rules.tables.at(static_cast<std::size_t>(metric)));
+  score.scores = LogLikelihoodRatios(
+      score.tallies, history, context.settings.shared_weight,
+      context.tables.at(static_cast<std::size_t>(metric)));
   return score;
 }
 
@@ -116,7 +118,7 @@
           age >= settings.max_control_wait);
 }
 
-// The old version answered enough beside the new one for a comparison.
+// Whether the old version has enough responses for a comparison.
 bool IsControlled(const VersionTotals& stratum, const JudgeSettings& settings) {
   const std::uint64_t min_runs =
       std::max(kMinControlResponses, stratum.new_version.runs / 4);
@@ -124,21 +126,22 @@
          std::min(settings.stratum_responses, min_runs);
 }
 
-// What `last` adds for good, now that the stratum after it is known.
-double ConfirmedScore(double last, double joined) {
-  return last <= 0 ? last : std::max(0.0, std::min(last, joined));
+// The part of the previous stratum's score that holds when it is joined with
+// the stratum after it.
+double ConfirmedScore(double previous, double combined) {
+  return previous <= 0 ? previous : std::max(0.0, std::min(previous, combined));
 }
 
 void CloseStratum(ScopeState& scope,
-                  const ScoreTable& open,
-                  const ScoreTable& joined,
-                  const std::array<double, kMetrics>& open_bad,
+                  const ScoreTable& current_scores,
+                  const ScoreTable& combined_scores,
+                  const std::array<double, kMetrics>& current_bad,
                   TimePoint now) {
   for (std::size_t m = 0; m < kMetrics; ++m) {
     for (std::size_t i = 0; i < kAlternatives; ++i) {
       double& sum = scope.score_sums.at(m).at(i);
-      sum +=
-          ConfirmedScore(scope.previous_scores.at(m).at(i), joined.at(m).at(i));
+      sum += ConfirmedScore(scope.previous_scores.at(m).at(i),
+                            combined_scores.at(m).at(i));
       sum = std::max(0.0, sum);
     }
     const bool has_positive_score = AnyAbove(scope.score_sums.at(m), 0);
@@ -146,16 +149,17 @@
         has_positive_score ? scope.summed_bad.at(m) + scope.previous_bad.at(m)
                            : 0;
   }
-  scope.previous_bad = open_bad;
-  scope.previous_scores = open;
+  scope.previous_bad = current_bad;
+  scope.previous_scores = current_scores;
   AddCounters(scope.history, scope.previous.old_version);
   scope.previous = scope.current_totals;
   scope.current_totals = {};
   scope.current_since = now;
 }
 
-// Without answers of the old version a stratum can raise a doubt, but not be
-// carried on: once the old one answers again, the fault may be over for both.
+// A stratum without responses of the old version can raise a suspicion, but its
+// evidence is not kept: by the time the old version responds again, the fault
+// may be over for both.
 void DropPositiveScores(ScopeState& scope) {
   for (auto& metric : scope.previous_scores) {
     for (double& score : metric)
@@ -163,10 +167,13 @@
   }
 }
 
-double CombinedScore(double sum, double last, double open, double joined) {
-  if (last <= 0)
-    return std::max(0.0, sum + last) + open;
-  return sum + std::min(last + open, joined);
+double CombinedScore(double sum,
+                     double previous,
+                     double current,
+                     double combined) {
+  if (previous <= 0)
+    return std::max(0.0, sum + previous) + current;
+  return sum + std::min(previous + current, combined);
 }
 
 }  // namespace
@@ -194,31 +201,31 @@
 }
 
 ScopeScore StepScope(ScopeState& scope,
-                     const ScoringContext& rules,
+                     const ScoringContext& context,
                      bool may_close,
                      TimePoint now) {
-  const std::size_t slow = SlowBucket(scope, rules.bounds.slowdown);
+  const std::size_t slow = SlowBucket(scope, context.bounds.slowdown);
   const VersionTotals combined = SumOf(scope.previous, scope.current_totals);
-  ScoreTable open{};
+  ScoreTable current_scores{};
   ScoreTable combined_scores{};
   std::array<double, kMetrics> current_bad{};
   ScopeScore strongest;
   for (std::size_t m = 0; m < kMetrics; ++m) {
     const auto metric = static_cast<Metric>(m);
     const StratumScore current_stratum =
-        ScoreStratum(scope, scope.current_totals, metric, slow, rules);
-    open.at(m) = current_stratum.scores;
+        ScoreStratum(scope, scope.current_totals, metric, slow, context);
+    current_scores.at(m) = current_stratum.scores;
     current_bad.at(m) = current_stratum.tallies.new_version.bad;
-    // Only what speaks against the new version needs to be confirmed.
+    // Only evidence against the new version needs to be confirmed.
     StratumScore combined_stratum = current_stratum;
     if (AnyAbove(scope.previous_scores.at(m), 0) ||
-        AnyAbove(current_stratum.scores, rules.settings.suspect_score))
-      combined_stratum = ScoreStratum(scope, combined, metric, slow, rules);
+        AnyAbove(current_stratum.scores, context.settings.suspect_score))
+      combined_stratum = ScoreStratum(scope, combined, metric, slow, context);
     combined_scores.at(m) = combined_stratum.scores;
     for (std::size_t i = 0; i < kAlternatives; ++i) {
       const double score = CombinedScore(
           scope.score_sums.at(m).at(i), scope.previous_scores.at(m).at(i),
-          open.at(m).at(i), combined_scores.at(m).at(i));
+          current_scores.at(m).at(i), combined_scores.at(m).at(i));
       if (score <= strongest.score)
         continue;
       const double confirmed = scope.score_sums.at(m).at(i) +
@@ -229,12 +236,13 @@
                    true,  bad};
     }
   }
-  strongest.controlled = IsControlled(scope.current_totals, rules.settings);
-  const bool suspected = strongest.score >= rules.settings.suspect_score;
+  strongest.controlled = IsControlled(scope.current_totals, context.settings);
+  const bool suspected = strongest.score >= context.settings.suspect_score;
   const bool close_early = suspected && !strongest.controlled;
-  if (!may_close || !(close_early || IsStratumDue(scope, rules.settings, now)))
+  if (!may_close ||
+      !(close_early || IsStratumDue(scope, context.settings, now)))
     return strongest;
-  CloseStratum(scope, open, combined_scores, current_bad, now);
+  CloseStratum(scope, current_scores, combined_scores, current_bad, now);
   if (!strongest.controlled)
     DropPositiveScores(scope);
   return strongest;
--- a/src/moves/scope_judge.h
+++ b/src/moves/scope_judge.h
@@ -1,4 +1,4 @@
-// The strata of one scope and what they add up to.
+// The time strata of one scope and the sums of their scores.
 #ifndef TEASELSPREAD_MOVES_SCOPE_JUDGE_H_
 #define TEASELSPREAD_MOVES_SCOPE_JUDGE_H_
 
@@ -6,34 +6,36 @@
 
 namespace teaselspread::moves {
 
-// What scores are worked out with.
+// Parameters for computing scores.
 struct ScoringContext {
   const JudgeSettings& settings;
   const MoveBounds& bounds;
   const std::array<LikelihoodTable, kMetrics>& tables;
 };
 
-// The strongest test of a scope.
+// The test of a scope with the highest score.
 struct ScopeScore {
   double score = 0;
-  // The same together with the stratum before.
+  // The score when joined with the previous stratum.
   double confirmed_score = 0;
   Metric metric = Metric::kFailures;
   VersionTallies tallies;
-  // The old version answered beside the new one.
+  // The old version gave enough responses in the same stratum to compare.
   bool controlled = true;
-  // Bad answers of the new version behind the score.
+  // Bad responses of the new version behind the score.
   double bad_responses = 0;
 };
 
-// Takes in the growth since the last feed of this data centre; as history only
-// unless `counted`.
-void ObserveTotals(ScopeState& scope, const ScopeTotals& feed, bool counted);
+// Adds the growth since the last totals of this data centre to the current
+// stratum if `counted`, otherwise only to the history.
+void ObserveTotals(ScopeState& scope, const ScopeTotals& totals, bool counted);
 
-// Forgets the strata that are not summed up yet.
+// Drops the strata that are not in the sums yet; the old version's counters of
+// them go to the history.
 void DropUnsummedStrata(ScopeState& scope, TimePoint now);
 
-// Scores the scope, and closes its stratum when that is due and `may_close`.
+// Scores the scope. If `may_close`, closes its stratum when that is due or when
+// a suspicion lacks responses of the old version.
 [[nodiscard]] ScopeScore StepScope(ScopeState& scope,
                                    const ScoringContext& rules,
                                    bool may_close,
--- a/src/moves/step.cc
+++ b/src/moves/step.cc
@@ -17,9 +17,11 @@
 using moves::UpdateCatchingUp;
 using moves::WaitsForEarlier;
 
-// Verdicts kept for moves that the configuration no longer names.
+// Number of verdicts above which those of moves that the configuration no
+// longer names are dropped.
 constexpr std::size_t kMaxVerdicts = 512;
-// Demand that is taken before any was seen: asks for the most evidence.
+// Requests per second assumed while the demand is unknown; a high rate requires
+// the most evidence.
 constexpr double kAssumedUnknownRate = 1000;
 
 int SlotsOf(const MoveCapacity& capacity,
@@ -121,8 +123,8 @@
   LimitTo(limited, move.evidence_share, ShareLimit::kEvidence);
   LimitTo(limited, moves::CapacityShare(settings, demand, new_slots, old_slots),
           ShareLimit::kCapacity);
-  // Without the old version beside it nothing tells a fault of the new one
-  // from a shared fault, so a doubt at full share asks for answers of both.
+  // A fault of the new version cannot be told from a shared one without
+  // responses of the old version, so a suspicion reduces a full share.
   if (!no_fault && old_slots > 0)
     LimitTo(limited, 0.5, ShareLimit::kSuspicion);
   if (move.judgement.finding == Finding::kHeld && old_slots > 0)
@@ -210,8 +212,8 @@
   AppendIfDue(state, move, in.now, actions);
 }
 
-// Forgets moves that the configuration no longer names. Their verdicts stay as
-// long as there is room, so that an id that comes back does not start again.
+// Drops moves that the configuration no longer names. Their verdicts are kept
+// while there is room, so that a move whose id returns does not start again.
 void ForgetRemovedMoves(MovesState& state, const Snapshot& snapshot) {
   const auto gone = [&snapshot](const std::string& move) {
     return snapshot.moves.count(move) == 0;
--- a/src/moves/step_input.h
+++ b/src/moves/step_input.h
@@ -1,4 +1,4 @@
-// What one step of one move looks at and hands on.
+// Input and output of one step of one move.
 #ifndef TEASELSPREAD_MOVES_STEP_INPUT_H_
 #define TEASELSPREAD_MOVES_STEP_INPUT_H_
 
--- a/src/moves/verdict.cc
+++ b/src/moves/verdict.cc
@@ -61,8 +61,8 @@
   DataCenterReport joined = OrderOf(a) < OrderOf(b) ? b : a;
   joined.clean = a.clean || b.clean;
   joined.stage = std::max(a.stage, b.stage);
-  // Counters only grow, but the evidence behind them is dropped when the move
-  // ends or a node restarts: a later report may count less.
+  // The evidence behind the counters is dropped when the move ends or a node
+  // restarts, so a later report may hold smaller counters.
   joined.new_runs = std::max(a.new_runs, b.new_runs);
   joined.new_failures = std::max(a.new_failures, b.new_failures);
   joined.old_runs = std::max(a.old_runs, b.old_runs);
--- a/src/moves/version_trial.cc
+++ b/src/moves/version_trial.cc
@@ -9,13 +9,14 @@
 namespace {
 
 constexpr std::int64_t kMicrosPerMilli = 1000;
-// A hung request counts this long at most: it says "slow", not how slow.
+// Cap on the latency that one response adds to a mean, so that a hung request
+// does not dominate it.
 constexpr std::int64_t kMaxTimedMillis = 10000;
 
 constexpr std::array<std::string_view, 3> kProgressNames = {"running", "done",
                                                             "taken-back"};
 
-// Sums over all nodes.
+// Sums of counters over all nodes.
 struct Sums {
   double runs = 0;
   double bad = 0;
@@ -41,7 +42,7 @@
 }
 
 struct RouteSums {
-  Sums old;
+  Sums old_version;
   // By upstream of the new version.
   std::map<std::string_view, Sums> new_by_upstream;
 };
@@ -53,7 +54,7 @@
   if (counters.of_new_version)
     Add(route.new_by_upstream[counters.instance], counters);
   else
-    Add(route.old, counters);
+    Add(route.old_version, counters);
 }
 
 RouteTable RouteTableOf(const VersionTrial& trial) {
@@ -74,35 +75,38 @@
 }
 
 bool FailsMore(const TrialSettings& settings,
-               const Sums& fresh,
-               const Sums& old) {
+               const Sums& new_version,
+               const Sums& old_version) {
   const double allowed =
-      std::min(1.0, RatioOf(old.bad, old.runs) + settings.max_extra_bad_ratio);
-  const double expected = fresh.runs * allowed;
+      std::min(1.0, RatioOf(old_version.bad, old_version.runs) +
+                        settings.max_extra_bad_ratio);
+  const double expected = new_version.runs * allowed;
   const double deviation = std::sqrt(expected * (1 - allowed));
-  return fresh.bad >= settings.min_bad &&
-         fresh.bad > expected + settings.min_deviations * deviation;
+  return new_version.bad >= settings.min_bad &&
+         new_version.bad > expected + settings.min_deviations * deviation;
 }
 
 bool IsSlower(const TrialSettings& settings,
-              const Sums& fresh,
-              const Sums& old) {
-  if (fresh.timed < settings.min_timed || old.timed < settings.min_timed)
+              const Sums& new_version,
+              const Sums& old_version) {
+  if (new_version.timed < settings.min_timed ||
+      old_version.timed < settings.min_timed)
     return false;
-  const double old_mean = RatioOf(old.sum_ms, old.timed);
-  return RatioOf(fresh.sum_ms, fresh.timed) >
+  const double old_mean = RatioOf(old_version.sum_ms, old_version.timed);
+  return RatioOf(new_version.sum_ms, new_version.timed) >
          old_mean * settings.max_slowdown + settings.max_slowdown_ms;
 }
 
 bool IsSlowerTogether(const TrialSettings& settings, const RouteSums& route) {
-  Sums fresh;
+  Sums new_version;
   for (const auto& [instance, sums] : route.new_by_upstream)
-    Add(fresh, sums);
-  if (fresh.timed < settings.min_timed_together ||
-      route.old.timed < settings.min_timed_together)
+    Add(new_version, sums);
+  if (new_version.timed < settings.min_timed_together ||
+      route.old_version.timed < settings.min_timed_together)
     return false;
-  const double old_mean = RatioOf(route.old.sum_ms, route.old.timed);
-  return RatioOf(fresh.sum_ms, fresh.timed) >
+  const double old_mean =
+      RatioOf(route.old_version.sum_ms, route.old_version.timed);
+  return RatioOf(new_version.sum_ms, new_version.timed) >
          std::max(old_mean * settings.max_slowdown_together,
                   old_mean + settings.max_slowdown_ms);
 }
@@ -120,14 +124,14 @@
 
 void UpdateOldMeans(VersionTrial& trial) {
   for (const auto& [name, route] : RouteTableOf(trial)) {
-    if (route.old.timed >= trial.settings.min_runs) {
+    if (route.old_version.timed >= trial.settings.min_runs) {
       trial.old_mean_ms[std::string(name)] =
-          RatioOf(route.old.sum_ms, route.old.timed);
+          RatioOf(route.old_version.sum_ms, route.old_version.timed);
     }
   }
 }
 
-// Part of the order's time that has passed since `start`.
+// Time since `start` as a fraction of the order's duration.
 double FractionSince(const VersionTrial& trial,
                      TimePoint start,
                      TimePoint now) {
@@ -146,8 +150,8 @@
   double judged_upstreams = 0;
   double bad_upstreams = 0;
   for (const auto& [instance, sums] : route.new_by_upstream) {
-    const bool failing = FailsMore(settings, sums, route.old);
-    const bool slow = IsSlower(settings, sums, route.old);
+    const bool failing = FailsMore(settings, sums, route.old_version);
+    const bool slow = IsSlower(settings, sums, route.old_version);
     if (sums.runs < settings.min_runs && !failing)
       continue;
     judged_upstreams += 1;
@@ -186,42 +190,42 @@
 }
 
 TrialStatus StatusOf(const VersionTrial& trial, TimePoint now) {
-  TrialStatus note;
-  note.service = trial.order.service;
-  note.to = trial.order.to;
-  note.progress = trial.progress;
-  note.reported = trial.reported;
-  note.incarnation = trial.incarnation;
-  note.duration_ms = static_cast<std::uint32_t>(trial.order.duration.count() /
-                                                kMicrosPerMilli);
-  note.moved = ShareOf(trial, now) >= 1;
+  TrialStatus status;
+  status.service = trial.order.service;
+  status.to = trial.order.to;
+  status.progress = trial.progress;
+  status.reported = trial.reported;
+  status.incarnation = trial.incarnation;
+  status.duration_ms = static_cast<std::uint32_t>(trial.order.duration.count() /
+                                                  kMicrosPerMilli);
+  status.moved = ShareOf(trial, now) >= 1;
   if (trial.progress != MoveProgress::kRunning)
-    return note;
-  note.age_ms = static_cast<std::uint32_t>((now - trial.started_at).count() /
-                                           kMicrosPerMilli);
+    return status;
+  status.age_ms = static_cast<std::uint32_t>((now - trial.started_at).count() /
+                                             kMicrosPerMilli);
   for (const auto& [key, cell] : trial.own)
-    note.counters.push_back(cell);
-  return note;
+    status.counters.push_back(cell);
+  return status;
 }
 
 void MergeStatus(VersionTrial& trial,
                  const std::string& node,
-                 const TrialStatus& note,
+                 const TrialStatus& status,
                  TimePoint now) {
   TrialStatus& known = trial.peers[node];
-  if (known.incarnation != note.incarnation) {
+  if (known.incarnation != status.incarnation) {
     trial.earlier_counters.insert(trial.earlier_counters.end(),
                                   known.counters.begin(), known.counters.end());
   }
-  known = note;
-  trial.started_at =
-      std::min(trial.started_at, now - std::chrono::milliseconds(note.age_ms));
+  known = status;
+  trial.started_at = std::min(trial.started_at,
+                              now - std::chrono::milliseconds(status.age_ms));
   trial.reported =
-      trial.reported || (note.reported && note.progress == trial.progress);
+      trial.reported || (status.reported && status.progress == trial.progress);
   if (trial.progress == MoveProgress::kRunning &&
-      note.progress != MoveProgress::kRunning) {
-    trial.progress = note.progress;
-    trial.reported = note.reported;
+      status.progress != MoveProgress::kRunning) {
+    trial.progress = status.progress;
+    trial.reported = status.reported;
   }
 }
 
@@ -262,12 +266,12 @@
 }
 
 TrialFinding JudgeTrial(const VersionTrial& trial) {
-  TrialFinding worst = TrialFinding::kNone;
+  TrialFinding strongest = TrialFinding::kNone;
   Sums fresh;
   Sums old;
   for (const auto& [name, route] : RouteTableOf(trial)) {
-    worst = std::max(worst, FindingOn(trial.settings, route));
-    Add(old, route.old);
+    strongest = std::max(strongest, FindingOn(trial.settings, route));
+    Add(old, route.old_version);
     for (const auto& [instance, sums] : route.new_by_upstream)
       Add(fresh, sums);
   }
@@ -280,7 +284,7 @@
                      extra_failed > settings.max_extra_failed_together;
   if (fresh.bad >= settings.min_bad_together && worse)
     return TrialFinding::kFault;
-  return worst;
+  return strongest;
 }
 
 bool StepTrial(VersionTrial& trial, const TrialView& view, TimePoint now) {
--- a/src/moves/wire.h
+++ b/src/moves/wire.h
@@ -1,4 +1,4 @@
-// Short texts and whole messages on the wire.
+// Encoding of short strings and of whole messages for the wire.
 #ifndef TEASELSPREAD_MOVES_WIRE_H_
 #define TEASELSPREAD_MOVES_WIRE_H_
 
@@ -18,8 +18,9 @@
 
 inline constexpr std::size_t kMaxNameBytes = 32;
 
-// cereal reserves whatever length a message claims before it reads a byte, so
-// one malformed message could take gigabytes. One byte of length cannot.
+// cereal allocates the length that a message claims before reading any byte, so
+// a malformed message could allocate gigabytes. The one-byte length prevents
+// that.
 template <class Archive>
 void SaveText(Archive& archive, const std::string& text) {
   const auto size =
@@ -46,7 +47,7 @@
   return stream.str();
 }
 
-// Runs `read(archive, value)` over `bytes`; kFrameMalformed when it fails.
+// Runs `read(archive, value)` over `bytes`; kFrameMalformed if it fails.
 template <class T, class Read>
 Result<T> Decode(std::string_view bytes, Read read) {
   try {
--- a/tests/unit/moves_evidence_test.cc
+++ b/tests/unit/moves_evidence_test.cc
@@ -32,8 +32,8 @@
   return sample;
 }
 
-// Gossip repeats, crosses and loses messages. If a total depended on that, two
-// nodes would judge the same move by different figures.
+// Gossip duplicates, reorders and loses messages. If totals depended on that,
+// two nodes would judge the same move by different numbers.
 Test(moves_evidence, totals_do_not_depend_on_the_order_of_messages) {
   EvidenceTable source;
   std::vector<EvidenceRow> messages;
@@ -58,8 +58,8 @@
   }
 }
 
-// A request that crashes every upstream it reaches would otherwise look like a
-// version that fails, and shed work was not run.
+// A request that crashes every upstream must not count as a failure of the
+// version, and shed requests were not run.
 Test(moves_evidence, suspects_and_shed_work_are_no_failures) {
   EvidenceTable table;
   const EvidenceKey key = KeyOf("vm1", "v2");
@@ -72,8 +72,8 @@
   cr_assert(total.shed == 1 && total.crash_suspects == 1);
 }
 
-// A version that is always slow must not pass as one that is cold for ever.
-Test(moves_evidence, a_cold_start_excuses_only_so_many_slow_answers) {
+// A version that is always slow must not be excused as cold indefinitely.
+Test(moves_evidence, a_cold_start_excuses_a_bounded_number_of_slow_responses) {
   EvidenceTable table;
   ResponseSample sample = Good(900);
   sample.cold = true;
@@ -105,7 +105,7 @@
   cr_assert(LatencyQuantile({}, 0.5) == Duration(0));
 }
 
-Test(moves_evidence, the_largest_row_fits_its_bound_and_comes_back) {
+Test(moves_evidence, the_largest_row_fits_its_bound_and_round_trips) {
   EvidenceRow row;
   row.key = KeyOf(std::string(32, 'n'), std::string(32, 'v'));
   row.key.move = std::string(32, 'm');
@@ -120,9 +120,8 @@
   cr_assert(back.has_value() && *back == row);
 }
 
-// A datagram cut short or damaged must be refused, not read as smaller
-// counters.
-Test(moves_evidence, a_cut_row_is_refused) {
+// A truncated datagram must be refused, not decoded as smaller counters.
+Test(moves_evidence, a_truncated_row_is_refused) {
   EvidenceTable table;
   RecordResponse(table, KeyOf("vm1", "v2"), Good(5));
   std::uint64_t reached = 0;
@@ -134,7 +133,7 @@
   }
 }
 
-Test(moves_evidence, changed_rows_come_in_pieces_and_ended_moves_go) {
+Test(moves_evidence, changed_rows_come_in_batches_and_ended_moves_are_purged) {
   EvidenceTable table;
   for (int i = 0; i < 5; ++i)
     RecordResponse(table, KeyOf("vm" + std::to_string(i), "v1"), Good(5));
@@ -148,7 +147,7 @@
   cr_assert(table.rows.empty());
 }
 
-// A peer with a fault that invents names must not fill the memory.
+// A faulty peer that sends made-up names must not exhaust the memory.
 Test(moves_evidence, the_table_is_bounded) {
   EvidenceTable table;
   EvidenceRow row;
--- a/tests/unit/moves_faults_test.cc
+++ b/tests/unit/moves_faults_test.cc
@@ -29,16 +29,16 @@
          verdict->second.stage == MoveStage::kRolledBack;
 }
 
-// A data centre is cut off during the ramp. Were the move called done without
-// it, operators would remove the old upstreams that it still uses.
-Test(moves_faults, nobody_says_done_while_a_data_center_is_unheard) {
+// A data centre is cut off during the ramp. If the move were reported as done,
+// operators would remove the old upstreams that it still uses.
+Test(moves_faults, no_node_reports_done_while_a_data_center_is_unreachable) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Trial trial(SetupOf(Class::kPlain, seed, 100));
     trial.cut_place = seed % 3;
     trial.cut_from = 20;
     trial.cut_until = 290;
     trial.trace = [&trial] {
-      // Ten seconds are the time after which silence is noticed.
+      // Silence is detected after ten seconds.
       const bool unheard = trial.time > 31 && trial.time < trial.cut_until;
       for (std::size_t place = 0; place < 3 && unheard; ++place) {
         const MovesState& node = trial.nodes.at(place);
@@ -52,9 +52,9 @@
   }
 }
 
-// The data centre that is cut off is the one whose upstreams are bad. The
-// others see nothing wrong, and would finish the move without it.
-Test(moves_faults, a_fault_seen_behind_a_cut_ends_the_move_everywhere) {
+// The data centre that is cut off is the one with the faulty upstreams. The
+// others see no fault and must not finish the move without it.
+Test(moves_faults, a_fault_in_a_cut_off_data_center_ends_the_move_everywhere) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Trial trial(SetupOf(Class::kOneDataCenter, seed, 200));
     trial.cut_place = trial.movers.front().fault_place;
@@ -68,9 +68,9 @@
   }
 }
 
-// Every process of a data centre is replaced in the middle of a move, and has
-// nothing but what its peers and the evidence tell it.
-Test(moves_faults, a_restarted_node_goes_on_where_it_was) {
+// Every process of a data centre is restarted in the middle of a move and has
+// only the reports of its peers and the evidence to resume from.
+Test(moves_faults, a_restarted_node_resumes_where_it_was) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Trial trial(SetupOf(Class::kPlain, seed, 100));
     double before = 0;
@@ -96,8 +96,8 @@
   }
 }
 
-// A restarted node has no evidence yet, and its rows come seconds later. Taking
-// that for a service without traffic, it would give the new version half of the
+// A restarted node receives its evidence only seconds later. If it took that
+// for a service without traffic, it would give the new version half of the
 // requests at once.
 Test(moves_faults, a_restarted_node_gives_no_more_than_the_others) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -124,9 +124,9 @@
   }
 }
 
-// The judge's memory goes with a restart. A bad version must still be found,
-// and the verdict must not differ between data centres.
-Test(moves_faults, restarts_do_not_save_a_bad_version) {
+// A restart loses the judge's state. A bad version must still be detected, and
+// the verdict must not differ between data centres.
+Test(moves_faults, restarts_do_not_hide_a_bad_version) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Trial trial(SetupOf(Class::kFailsLater, seed, 200));
     trial.trace = [&trial] {
@@ -137,7 +137,7 @@
       MovesState fresh;
       fresh.node = trial.nodes.at(place).node;
       fresh.data_center = trial.nodes.at(place).data_center;
-      // A peer that is there already tells the verdicts.
+      // The verdicts come from a running peer.
       fresh.verdicts = trial.nodes.at((place + 1) % 3).verdicts;
       trial.nodes.at(place) = fresh;
       trial.tables.at(place) = {};
@@ -148,13 +148,13 @@
   }
 }
 
-// The log is down when the verdict falls. The verdict has to spread without
-// it, and to be in it as soon as it can be reached, or a herd of restarts would
-// start the move again.
+// The log is down at the time of the verdict. The verdict has to spread without
+// it and be appended as soon as the log is reachable, or a restart of all nodes
+// would start the move again.
 Test(moves_faults, a_verdict_reaches_the_log_after_its_outage) {
   Trial trial(SetupOf(Class::kFailsAtOnce, 4, 100));
   trial.log_down_until = 60;
-  // The trial ends soon after the verdict; go on by hand.
+  // The trial ends soon after the verdict; the test continues the steps itself.
   const Outcome outcome = trial.Run();
   cr_assert(outcome.taken_back && !outcome.split && trial.log.empty());
   MovesState& node = trial.nodes.front();
@@ -171,9 +171,9 @@
         OnLoggedVerdict(node, action.verdict, now);
     }
   }
-  // Every five seconds until the log took it.
+  // Every five seconds until the log accepted it.
   cr_assert(appends >= 5 && appends <= 8, "%d appends", appends);
-  // A herd returns and reads the log.
+  // Restarted nodes read the log.
   MovesState fresh;
   fresh.data_center = node.data_center;
   OnLoggedVerdict(fresh, node.verdicts.begin()->second, trial.Now());
--- a/tests/unit/moves_operator_test.cc
+++ b/tests/unit/moves_operator_test.cc
@@ -11,7 +11,7 @@
 constexpr int kRate = 50;
 const TimePoint kStart{std::chrono::seconds(1'000'000)};
 
-// One data centre in which every request is answered at once.
+// One data centre in which every request gets its response at once.
 struct DeploymentFixture {
   MovesState state;
   Snapshot snapshot;
@@ -45,7 +45,7 @@
     return move;
   }
 
-  // Of the answers of `failing` each `fail_every`-th fails.
+  // Every `fail_every`-th response of the version `failing` is a failure.
   void Run(int seconds, const std::string& failing = "") {
     for (int i = 0; i < seconds; ++i) {
       this->Answer(failing);
@@ -109,16 +109,15 @@
   world.Run(200);
   cr_assert(world.Account("m1").state == AccountState::kDone);
   cr_assert(world.Pick() == "v2");
-  // Until the base file says so itself.
+  // Until the base file names the new version itself.
   world.snapshot.moves.clear();
   world.snapshot.services["registry-desk"].version = "v2";
   world.Run(2);
   cr_assert(world.Pick() == "v2");
 }
 
-// The operator withdraws a running move and then edits the mark away. Traffic
-// that moved again without a new order would be the half-done upgrade that the
-// operators fear.
+// The operator withdraws a running move and then removes the withdrawal from
+// the file. Traffic must not move again without a new order.
 Test(moves_operator, a_withdrawn_move_never_resumes) {
   DeploymentFixture world;
   world.Add("m1");
@@ -134,8 +133,8 @@
   cr_assert(world.Account("m1").state == AccountState::kRolledBack);
 }
 
-// The new version is mended and the operator orders the move again under a new
-// id. The evidence of the first time must not count against it.
+// The new version is fixed and the operator orders the move again under a new
+// id. The evidence of the first move must not count against it.
 Test(moves_operator, a_new_id_starts_again) {
   DeploymentFixture world;
   world.Add("m1");
@@ -159,7 +158,7 @@
   cr_assert(world.state.moves.at("m2").limit == ShareLimit::kEarlierMove);
 }
 
-// `by` is brought forward while the move runs.
+// `by` is changed to an earlier time while the move runs.
 Test(moves_operator, a_new_deadline_takes_effect) {
   DeploymentFixture world;
   MoveConfig& move = world.Add("m1");
@@ -171,8 +170,8 @@
   cr_assert(world.Account("m1").state == AccountState::kDone);
 }
 
-// The new version fails one request in twenty, and the operator allows that
-// while the move runs. With the bounds as they were it would be taken back.
+// The new version fails one request in twenty, and the operator loosens the
+// bounds to allow that while the move runs. Otherwise it is rolled back.
 Test(moves_operator, new_bounds_take_effect) {
   for (const bool loosened : {false, true}) {
     DeploymentFixture world;
@@ -189,7 +188,7 @@
 }
 
 // The file names another version under the same id. The evidence is about the
-// first one, so the change has to be refused and said.
+// first one, so the change has to be ignored and the account has to say so.
 Test(moves_operator, other_versions_under_one_id_are_ignored_and_named) {
   DeploymentFixture world;
   world.Add("m1");
@@ -202,7 +201,7 @@
 }
 
 // All new upstreams are gone for a while. Requests must not wait for them, and
-// the move must neither end nor be blamed.
+// the move must neither end nor count this as a fault.
 Test(moves_operator, without_ready_slots_the_new_version_gets_nothing) {
   DeploymentFixture world;
   world.Add("m1");
@@ -216,8 +215,8 @@
   cr_assert(world.Account("m1").state == AccountState::kDone);
 }
 
-// A data centre is not heard. The account has to name it and must not say done,
-// whatever verdict this node holds.
+// A data centre is unreachable. The account has to name it and must not report
+// the move as done, whatever verdict this node holds.
 Test(moves_operator, the_account_names_what_is_unknown) {
   DeploymentFixture world;
   world.snapshot.data_centers = {"bole", "piassa"};
@@ -244,7 +243,7 @@
   cr_assert(json.find("\"heard\":false") != std::string::npos);
 }
 
-Test(moves_operator, the_account_says_why_a_move_was_taken_back) {
+Test(moves_operator, the_account_says_why_a_move_was_rolled_back) {
   DeploymentFixture world;
   world.Add("m1");
   world.Run(60, "v2");
--- a/tests/unit/moves_report_test.cc
+++ b/tests/unit/moves_report_test.cc
@@ -5,9 +5,9 @@
 namespace teaselspread {
 namespace {
 
-// A move ends, its evidence is dropped, and the next report counts nothing. An
-// operator who then reads the account must still see what the verdict rested
-// on, not "0 of 0".
+// After a move has ended its evidence is dropped and the next report counts
+// nothing. The account must still show the counters behind the verdict, not
+// "0 of 0".
 Test(moves_report, figures_stay_once_the_evidence_is_dropped) {
   DataCenterReport full;
   full.move = "m";
--- a/tests/unit/moves_trial_test.cc
+++ b/tests/unit/moves_trial_test.cc
@@ -5,7 +5,7 @@
 namespace teaselspread::trial {
 namespace {
 
-// What the outcomes of some seeds add up to.
+// Sums over the outcomes of several seeds.
 struct Sums {
   int trials = 0;
   int done = 0;
@@ -53,53 +53,53 @@
 
 // The new version fails most requests from the first one on. Callers see
 // failures until it gets no more requests.
-Test(moves_trial, a_version_that_fails_at_once_is_taken_back) {
+Test(moves_trial, a_version_that_fails_at_once_is_rolled_back) {
   ExpectRolledBack(Class::kFailsAtOnce, 0.2, 120);
 }
 
-// One request in twenty fails, which no caller can tell from bad luck.
-Test(moves_trial, a_version_that_fails_a_little_is_taken_back) {
+// One request in twenty fails, which a single caller cannot tell from chance.
+Test(moves_trial, a_version_that_fails_a_little_is_rolled_back) {
   ExpectRolledBack(Class::kFailsALittle, 6, 1500);
 }
 
-// Every answer is right and takes three times as long.
-Test(moves_trial, a_slow_version_is_taken_back) {
+// Every response is correct but takes three times as long.
+Test(moves_trial, a_slow_version_is_rolled_back) {
   ExpectRolledBack(Class::kSlow, 2, 300);
 }
 
-// All goes well until some moment of the ramp, when much traffic has moved.
-Test(moves_trial, a_version_that_fails_later_is_taken_back) {
+// The version works until some time in the ramp, when much traffic has moved.
+Test(moves_trial, a_version_that_fails_later_is_rolled_back) {
   ExpectRolledBack(Class::kFailsLater, 2, 1500);
 }
 
 // The fault shows only when the new version has a large share.
-Test(moves_trial, a_version_that_fails_under_load_is_taken_back) {
+Test(moves_trial, a_version_that_fails_under_load_is_rolled_back) {
   ExpectRolledBack(Class::kUnderLoad, 2, 5000);
 }
 
-// One rare route fails; the sum over all routes looks fine.
-Test(moves_trial, a_version_with_one_bad_route_is_taken_back) {
+// One rare route fails, which hardly shows in the sum over all routes.
+Test(moves_trial, a_version_with_one_bad_route_is_rolled_back) {
   ExpectRolledBack(Class::kOneRoute, 20, 4000);
 }
 
-// Only the upstreams of one data centre are bad.
-Test(moves_trial, a_version_bad_in_one_data_center_is_taken_back) {
+// Only the upstreams of one data centre fail.
+Test(moves_trial, a_version_bad_in_one_data_center_is_rolled_back) {
   ExpectRolledBack(Class::kOneDataCenter, 6, 1000);
 }
 
-// The new upstreams announce themselves, vanish after seconds and come again.
-Test(moves_trial, a_version_that_crashes_on_start_is_taken_back) {
+// The new upstreams repeatedly announce themselves and vanish after seconds.
+Test(moves_trial, a_version_that_crashes_on_start_is_rolled_back) {
   ExpectRolledBack(Class::kCrashOnStart, 0.2, 500);
 }
 
-// The new version accepts requests and never answers.
-Test(moves_trial, a_version_that_hangs_is_taken_back) {
+// The new version accepts requests and never responds.
+Test(moves_trial, a_version_that_hangs_is_rolled_back) {
   ExpectRolledBack(Class::kHangs, 0.2, 200);
 }
 
-// Two services move at the same time, and one of the versions is bad. The
-// other service's move must not suffer.
-Test(moves_trial, of_two_moves_only_the_bad_one_is_taken_back) {
+// Two services move at the same time, and one of the new versions is bad. The
+// other service's move must not be affected.
+Test(moves_trial, of_two_moves_only_the_bad_one_is_rolled_back) {
   const Sums sums = RunSeeds(Class::kTwoMoves, 24, 0.2, 500);
   cr_assert(sums.rollbacks == sums.trials && sums.neighbour_rollbacks == 0);
 }
@@ -125,22 +125,22 @@
   ExpectDone(Class::kSmaller, 2000);
 }
 
-// One request crashes each upstream that runs it and is sent again.
+// One request crashes each upstream that runs it and is retried.
 Test(moves_trial, a_request_that_crashes_upstreams_is_not_blamed) {
   ExpectDone(Class::kCrashRequest);
 }
 
-// The health endpoint says "not ready" for seconds on end while all is well.
+// The health endpoint reports "not ready" for seconds although all is well.
 Test(moves_trial, a_lagging_health_endpoint_is_not_blamed) {
   ExpectDone(Class::kLaggingHealth);
 }
 
-// A request every few seconds: evidence comes slowly, the time set stays.
+// A request every few seconds: evidence grows slowly, but the deadline stays.
 Test(moves_trial, little_traffic_is_done_in_time) {
   ExpectDone(Class::kLittleTraffic, 1);
 }
 
-// One data centre is cut off for a while and counters come late.
+// One data centre is cut off for a while, so its counters arrive late.
 Test(moves_trial, a_move_seen_in_part_is_done_in_time) {
   ExpectDone(Class::kPartlySeen);
 }
@@ -151,9 +151,9 @@
   std::uint64_t seed;
 };
 
-// Seeds of the measurement with which an earlier judge took a good move back
-// after a shared fault: the counters of the two versions came apart at its
-// beginning or end, or the old version had not answered at the same time.
+// Seeds with which a good move was rolled back after a shared fault: at its
+// start or end the counters of the two versions arrived separately, or the old
+// version had not responded at the same time.
 Test(moves_trial, seeds_that_found_a_fault_of_the_judge) {
   constexpr std::array<FoundSeed, 13> kFound = {{
       {2, Class::kSharedFault, 10},
--- a/tests/unit/moves_verdict_test.cc
+++ b/tests/unit/moves_verdict_test.cc
@@ -36,9 +36,9 @@
   return r;
 }
 
-// Verdicts and reports arrive in any order and more than once. Unless the join
-// is the same in each order, two data centres end a move differently.
-Test(moves_verdict, joins_commute_associate_and_repeat) {
+// Verdicts and reports arrive in any order and more than once. If the join
+// depended on the order, two data centres could end a move differently.
+Test(moves_verdict, joins_are_commutative_associative_and_idempotent) {
   Rng rng(3);
   for (int i = 0; i < 2000; ++i) {
     const Verdict a = RandomVerdict(rng);
@@ -58,7 +58,7 @@
   }
 }
 
-Test(moves_verdict, messages_come_back_and_cut_ones_are_refused) {
+Test(moves_verdict, messages_round_trip_and_truncated_ones_are_refused) {
   Rng rng(5);
   const Verdict verdict = RandomVerdict(rng);
   const DataCenterReport report = RandomReport(rng);
@@ -72,9 +72,9 @@
     cr_assert(!DecodeReport(report_bytes.substr(0, size)).has_value());
 }
 
-// A verdict reaches a data centre late, twice and crossed with another one.
-// Operators would see a move resume that was taken back.
-Test(moves_verdict, a_taken_back_move_stays_taken_back) {
+// Verdicts arrive late, twice or reordered. A move that was rolled back must
+// not resume because of that.
+Test(moves_verdict, a_rolled_back_move_stays_rolled_back) {
   Rng rng(11);
   for (int round = 0; round < 50; ++round) {
     MovesState state;
--- a/tests/unit/version_choice_test.cc
+++ b/tests/unit/version_choice_test.cc
@@ -10,7 +10,7 @@
 
 constexpr char kDesk[] = "registry-desk";
 
-TrialStatus NoteTo(const char* version, std::uint32_t age_ms) {
+TrialStatus StatusTo(const char* version, std::uint32_t age_ms) {
   TrialStatus note;
   note.service = kDesk;
   note.to = version;
@@ -24,11 +24,11 @@
 }
 
 // A node is cut off from the store, but not from the others, when a move is
-// ordered. It cannot read the order and would send to the old version all the
-// time, so the move could not be done.
-Test(version_choice, an_order_told_by_a_peer_begins_the_move) {
+// ordered. Without the order from its peers it would use the old version only,
+// and the move could not be done.
+Test(version_choice, an_order_from_a_peer_starts_the_move) {
   VersionChoice versions;
-  versions.OnPeerStatuses("bole-2", {NoteTo("v2", 3000)});
+  versions.OnPeerStatuses("bole-2", {StatusTo("v2", 3000)});
   const auto& trials = versions.Trials();
   cr_assert(trials.contains(kDesk));
   const VersionTrial& trial = trials.at(kDesk);
@@ -37,20 +37,21 @@
   cr_assert(trial.peers.contains("bole-2"));
 }
 
-// A node that starts without the store is told that a version was taken back.
-// It must not send there, however many of its upstreams are ready.
-Test(version_choice, a_verdict_told_by_a_peer_holds_without_the_order) {
+// A node that starts without the store learns from a peer that a version was
+// rolled back. It must not send requests to it, however many of its upstreams
+// are ready.
+Test(version_choice, a_verdict_from_a_peer_applies_without_the_order) {
   VersionChoice versions;
-  TrialStatus note = NoteTo("v2", 0);
+  TrialStatus note = StatusTo("v2", 0);
   note.progress = MoveProgress::kTakenBack;
   versions.OnPeerStatuses("bole-2", {note});
   versions.SetReady({{kDesk, "v1", "i-1", 10, 0}, {kDesk, "v2", "i-2", 90, 0}});
   cr_assert(versions.Pick(kDesk).version == "v1");
 }
 
-// All nodes start at once beside upstreams that were up before, and the first
-// heartbeat is that of a new version which nobody ordered yet. Sent to the one
-// version that is known, every request would go to the new one.
+// All nodes start at once beside running upstreams, and the first heartbeat
+// comes from a new version that was not ordered yet. It must not get every
+// request only because it is the one known version.
 Test(version_choice, a_new_version_known_first_does_not_get_all) {
   VersionChoice versions;
   versions.SetReady({{kDesk, "", "i-1", 10, 0},
@@ -64,8 +65,8 @@
   cr_assert(versions.Pick(kDesk).version == "v1");
 }
 
-// A request that failed where versions are unknown is sent to the known one:
-// refused, its caller would get an error beside an idle upstream.
+// A request that failed at upstreams of unknown version is retried at the known
+// one; otherwise its caller would get an error while an upstream is idle.
 Test(version_choice, a_known_version_is_spare_while_most_are_unknown) {
   VersionChoice versions;
   versions.SetReady({{kDesk, "", "i-1", 4, 0}, {kDesk, "v1", "i-2", 4, 0}});
@@ -74,8 +75,8 @@
   cr_assert(FitOf(picked, "v1", "i-2") == VersionFit::kFallback);
 }
 
-// Every node restarts after a move was done and knows no version until the next
-// heartbeats: its callers were refused that long.
+// Every node restarts after a move is done and knows no version until the next
+// heartbeats. Requests must not be refused in the meantime.
 Test(version_choice, unknown_versions_serve_after_a_move) {
   VersionChoice versions;
   ReadOrder(versions, "v2");
@@ -88,9 +89,9 @@
   cr_assert(FitOf(picked, "", "i-1") == VersionFit::kPreferred);
 }
 
-// The same after a version was taken back. It must get nothing, and what is
-// unknown may be that version: it serves only while nothing else does.
-Test(version_choice, unknown_versions_serve_alone_after_one_was_taken_back) {
+// The same after a version was rolled back. It must get nothing, and as unknown
+// upstreams may run it, they serve only if no known one can.
+Test(version_choice, unknown_versions_serve_alone_after_one_was_rolled_back) {
   VersionChoice versions;
   ReadOrder(versions, "v2");
   versions.OnReport({kDesk, "v2", MoveProgress::kTakenBack});
@@ -108,7 +109,7 @@
 }
 
 // Nodes restart in the middle of a move, and the new version's heartbeat comes
-// first: it would get every request.
+// first. The new version must not get every request.
 Test(version_choice, a_new_version_known_first_in_a_move_does_not_get_all) {
   VersionChoice versions;
   ReadOrder(versions, "v2");
@@ -118,8 +119,8 @@
   cr_assert(FitOf(picked, "v2", "i-2") == VersionFit::kNone);
 }
 
-// The old version has nothing ready in the middle of a move, and one node has
-// just restarted: its upstream would get every request alone.
+// The old version has no ready upstream in the middle of a move, and one node
+// has just restarted. Its upstream must not get every request.
 Test(version_choice, a_single_unknown_upstream_does_not_get_all_in_a_move) {
   VersionChoice versions;
   ReadOrder(versions, "v2");
@@ -131,9 +132,9 @@
   cr_assert(FitOf(picked, "", "i-1") == VersionFit::kFallback);
 }
 
-// A request that fails at the few upstreams which a new version may use is sent
-// to the old one. One that fails at the old one never goes to the new one:
-// repeats would exceed its share.
+// A request that fails at the few upstreams in use of the new version is
+// retried at the old one, but never the other way round, as retries would
+// exceed the new version's share.
 Test(version_choice, the_old_version_is_spare_in_a_move) {
   VersionChoice versions;
   ReadOrder(versions, "v2");
@@ -152,19 +153,19 @@
   cr_assert(fresh > 0);
 }
 
-// Nodes lag behind each other: one still tells of the move before.
-Test(version_choice, an_older_move_does_not_come_back) {
+// Nodes lag behind each other: one still reports the previous move.
+Test(version_choice, an_older_move_does_not_restart) {
   VersionChoice versions;
   ReadOrder(versions, "v3");
-  versions.OnPeerStatuses("bole-2", {NoteTo("v2", 20000)});
+  versions.OnPeerStatuses("bole-2", {StatusTo("v2", 20000)});
   cr_assert(versions.Trials().at(kDesk).order.to == "v3");
 }
 
-// The store is read from an earlier place on, and the order before the one that
-// a peer told comes first. Taken for new, it would begin the older move again.
-Test(version_choice, an_older_order_read_late_is_passed_over) {
+// The store is read from an earlier offset, so an older order comes before the
+// one already known from a peer. It must not start the older move again.
+Test(version_choice, an_older_order_read_late_is_ignored) {
   VersionChoice versions;
-  versions.OnPeerStatuses("bole-2", {NoteTo("v3", 100)});
+  versions.OnPeerStatuses("bole-2", {StatusTo("v3", 100)});
   ReadOrder(versions, "v2");
   cr_assert(versions.Trials().at(kDesk).order.to == "v3");
   ReadOrder(versions, "v3");
--- a/tests/unit/version_trial_test.cc
+++ b/tests/unit/version_trial_test.cc
@@ -21,8 +21,8 @@
   Duration latency = Ms(100);
 };
 
-// How an upstream of the new version answers: which one, on which route, how
-// long after the order, and how loaded it is from 0 to 1.
+// A request at an upstream: which upstream, on which route, how long after the
+// order, and the upstream's load from 0 to 1.
 struct SimulatedRequest {
   int upstream = 0;
   int route = 0;
@@ -43,9 +43,9 @@
   int total_requests = 0;
 };
 
-// One service of nine upstreams in each version at `rate` requests a second, as
-// one node sees it. Answers are counted when they come; each tenth of a second
-// the trial is judged. Seeded, on a virtual clock.
+// Simulates one service with nine upstreams of each version at kRate requests
+// per second, as one node sees it. Responses are counted on arrival, and the
+// trial is judged ten times a second. Seeded, on a virtual clock.
 Simulation Simulate(const ResponseModel& fresh,
                     Duration duration,
                     std::uint64_t seed,
@@ -81,10 +81,10 @@
       const bool to_new = std::uniform_real_distribution<>(0, 1)(rng) < share;
       run.new_version_requests += to_new ? 1 : 0;
       const int route = rng() % 4 == 0 ? 1 : 0;
-      TrialResponse answer;
-      answer.from_new_version = to_new;
-      answer.timed = true;
-      answer.route = route == 0 ? "read" : "write";
+      TrialResponse response;
+      response.from_new_version = to_new;
+      response.timed = true;
+      response.route = route == 0 ? "read" : "write";
       Outcome outcome;
       const auto upstream = static_cast<int>(
           rng() % (to_new ? in_use : static_cast<std::size_t>(kUpstreams)));
@@ -92,10 +92,10 @@
       outcome = (to_new ? fresh : old)({upstream, route, passed, load}, rng);
       const std::size_t name_index =
           static_cast<std::size_t>(upstream) + (to_new ? kUpstreams : 0U);
-      answer.instance = names[name_index];
-      answer.bad = outcome.bad;
-      answer.latency = outcome.latency;
-      in_flight.emplace(now + outcome.latency, answer);
+      response.instance = names[name_index];
+      response.bad = outcome.bad;
+      response.latency = outcome.latency;
+      in_flight.emplace(now + outcome.latency, response);
     }
   }
   run.progress = trial.progress;
@@ -106,7 +106,8 @@
   return std::uniform_real_distribution<>(0, 1)(rng) < share;
 }
 
-// A tenth of the requests between the order and its end, and fifty.
+// A bad version may get a tenth of the requests during the order's duration
+// plus 50.
 void ExpectRolledBack(const Simulation& run, std::uint64_t seed) {
   cr_assert(run.progress == MoveProgress::kTakenBack, "seed %d",
             static_cast<int>(seed));
@@ -127,9 +128,9 @@
   }
 }
 
-// The new version fails half of its requests from the start. Callers see some
-// failures, and nothing of it a few seconds after the order.
-Test(version_trial, failures_take_it_back) {
+// The new version fails half of its requests from the start, and must be rolled
+// back within a few seconds of the order.
+Test(version_trial, failures_roll_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     const Simulation run =
         Simulate([](const SimulatedRequest&,
@@ -140,9 +141,8 @@
   }
 }
 
-// It answers eight times slower; those answers come late, and so does the
-// evidence.
-Test(version_trial, slowness_takes_it_back) {
+// The new version is eight times slower; the late responses delay the evidence.
+Test(version_trial, slowness_rolls_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     ExpectRolledBack(Simulate(
                          [](const SimulatedRequest&, Rng&) {
@@ -153,9 +153,9 @@
   }
 }
 
-// Half of its answers take four times as long. Their mean is no more than a
-// busy upstream may have; but the old version has hardly any such answer.
-Test(version_trial, slowness_of_some_answers_takes_it_back) {
+// 40% of its responses take four times as long. The mean stays within that of a
+// busy upstream, but the old version has hardly any such response.
+Test(version_trial, slowness_of_some_responses_rolls_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     ExpectRolledBack(
         Simulate(
@@ -167,8 +167,8 @@
   }
 }
 
-// Only one route fails, which has a quarter of the requests.
-Test(version_trial, failures_of_one_route_take_it_back) {
+// Only one route fails, which gets a quarter of the requests.
+Test(version_trial, failures_of_one_route_roll_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     ExpectRolledBack(Simulate(
                          [](const SimulatedRequest& asked, Rng& rng) {
@@ -179,8 +179,8 @@
   }
 }
 
-// It is well for three seconds and fails after that.
-Test(version_trial, a_late_fault_takes_it_back) {
+// The new version works for three seconds and fails after that.
+Test(version_trial, a_late_fault_rolls_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     ExpectRolledBack(
         Simulate(
@@ -192,9 +192,9 @@
   }
 }
 
-// It fails only when it is loaded as it will be with all requests. The first
-// requests go to two upstreams only, so that this shows before all have moved.
-Test(version_trial, a_fault_under_load_takes_it_back) {
+// The new version fails only under the load of all requests. The first requests
+// go to two upstreams, so that this shows before all requests have moved.
+Test(version_trial, a_fault_under_load_rolls_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     ExpectRolledBack(Simulate(
                          [](const SimulatedRequest& asked, Rng& rng) {
@@ -205,9 +205,9 @@
   }
 }
 
-// One upstream of the new version runs on a slow VM. That says nothing of the
-// version, and a move that is taken back for it would have to be ordered again.
-Test(version_trial, one_slow_upstream_does_not_take_it_back) {
+// One upstream of the new version runs on a slow VM, which is no fault of the
+// version: a move rolled back for it would have to be ordered again.
+Test(version_trial, one_slow_upstream_does_not_roll_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     const Simulation run = Simulate(
         [](const SimulatedRequest& asked, Rng&) {
@@ -220,9 +220,8 @@
   }
 }
 
-// Upstreams on VMs of different speeds, whose times vary as real work does: of
-// the new version's upstreams those numbered as `slow` says are slow, of the
-// old one's every third.
+// Response of an upstream on a slow or a fast VM, with log-normal latency as of
+// real work. Of the old version's upstreams every third VM is slow.
 Outcome Varied(bool slow, Rng& rng) {
   constexpr double kMeanMs = 100;
   constexpr double kSpread = 0.8;
@@ -236,10 +235,11 @@
   return Varied(asked.upstream % 3 == 2, rng);
 }
 
-// Every third VM is slow, and the first upstream that a good version's requests
-// meet runs on one. Its answers take twice as long as the old version's in the
-// mean, and some of them several times as long. The move has to be done all the
-// same: taken back, it would have to be ordered again, with the same upstreams.
+// Every third VM is slow, possibly that of the first upstream that a good
+// version's requests reach. Its mean latency is twice the old version's, and
+// some responses take several times as long. The move has to be done
+// nevertheless: if rolled back, it would be ordered again with the same
+// upstreams.
 Test(version_trial, slow_vms_do_not_hold_a_good_version) {
   int done = 0;
   for (int first = 0; first < 3; ++first) {
@@ -255,9 +255,9 @@
   cr_assert(done >= 58, "%d of 60", done);
 }
 
-// The same VMs, and a version that answers half of its requests eight times
-// slower, or five times. (Four times cannot be told from slow VMs in each case
-// before the version has had its tenth.)
+// On the same VMs, a version responds to half of its requests eight or five
+// times slower. (A factor of four cannot always be told from slow VMs before
+// the version has got its tenth of the requests.)
 Test(version_trial, slowness_shows_on_vms_of_different_speeds) {
   for (const int factor : {8, 5}) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
@@ -274,7 +274,7 @@
   }
 }
 
-// The same VMs, and a version that fails half of the requests of one route.
+// On the same VMs, a version fails half of the requests of one route.
 Test(version_trial, failures_show_on_vms_of_different_speeds) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     ExpectRolledBack(Simulate(
@@ -288,8 +288,8 @@
   }
 }
 
-// A node that was restarted knows nothing of the fault that others have seen.
-Test(version_trial, a_verdict_of_another_node_is_taken_over) {
+// A restarted node has not seen the fault and must adopt the others' verdict.
+Test(version_trial, a_verdict_of_another_node_is_adopted) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(16000)};
   trial.started_at = kStart;
@@ -305,9 +305,10 @@
   cr_assert(trial.progress == MoveProgress::kTakenBack);
 }
 
-// All nodes are restarted in turn while a move runs, and each forgets what it
-// saw. The others keep what it told, or a bad version would never be found out.
-Test(version_trial, what_a_node_told_outlives_its_restart) {
+// All nodes are restarted in turn while a move runs, and each loses its
+// counters. The others must keep what it reported, or a bad version would not
+// be detected.
+Test(version_trial, reported_counters_survive_a_restart) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(16000)};
   trial.started_at = kStart;
@@ -325,8 +326,8 @@
   cr_assert(JudgeTrial(trial) == TrialFinding::kNone);
 }
 
-// A node starts in the middle of a move. Counted from its own start the move
-// would miss its time, because it is done only when all nodes have moved.
+// A node starts in the middle of a move. Counted from the node's own start the
+// move would miss its deadline, as it is done only when all nodes have moved.
 Test(version_trial, a_late_node_joins_at_the_stage_of_the_others) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(10000)};
@@ -340,7 +341,8 @@
   cr_assert(ShareOf(trial, kStart + Ms(500)) == 1);
 }
 
-// Old upstreams are stopped at once when a move is done, with what runs there.
+// Old upstreams are stopped as soon as a move is done, which would abort the
+// requests that run there.
 Test(version_trial, not_done_while_old_upstreams_work) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(10000)};
