--- a/include/teaselspread/evidence.h
+++ b/include/teaselspread/evidence.h
@@ -123,8 +123,8 @@
 [[nodiscard]] Duration LatencyBound(std::size_t bucket);
 
 // Upper bound of the bucket that holds the `quantile` (0..1) of the counted
-// latencies; zero if there are none. Thread safe for a constant `cells`.
-[[nodiscard]] Duration LatencyQuantile(const EvidenceCounters& cells,
+// latencies; zero if there are none. Thread safe for constant `counters`.
+[[nodiscard]] Duration LatencyQuantile(const EvidenceCounters& counters,
                                        double quantile);
 
 // Counts one response. Precondition: `key` names the caller's own node and
@@ -165,8 +165,8 @@
 // Drops the rows of every move that is not in `live`. Not thread safe.
 void PurgeEvidence(EvidenceTable& table, const std::set<std::string>& live);
 
-// Adds `other` to `cells`. Not thread safe.
-void AddCounters(EvidenceCounters& cells, const EvidenceCounters& other);
+// Adds `other` to `counters`. Not thread safe.
+void AddCounters(EvidenceCounters& counters, const EvidenceCounters& other);
 
 // At most kMaxEvidenceRowBytes; names are truncated to 32 bytes. Thread safe.
 [[nodiscard]] std::string EncodeRow(const EvidenceRow& row);
--- a/include/teaselspread/judge.h
+++ b/include/teaselspread/judge.h
@@ -202,8 +202,8 @@
 // Whether new upstreams repeatedly become ready and vanish while old ones do
 // not. Thread safe for constant arguments.
 [[nodiscard]] bool CrashesOnStart(const JudgeSettings& settings,
-                                  const EvidenceCounters& fresh,
-                                  const EvidenceCounters& old);
+                                  const EvidenceCounters& new_version,
+                                  const EvidenceCounters& old_version);
 
 }  // namespace teaselspread
 
--- a/include/teaselspread/version_trial.h
+++ b/include/teaselspread/version_trial.h
@@ -175,7 +175,7 @@
 // Counts one response that this node received. A response far slower than the
 // old version's mean on its route counts as bad, too, because a mean hides a
 // version that is slow for some of its callers.
-void RecordTrialResponse(VersionTrial& trial, const TrialResponse& answer);
+void RecordTrialResponse(VersionTrial& trial, const TrialResponse& response);
 
 // The status that this node reports to the others.
 [[nodiscard]] TrialStatus StatusOf(const VersionTrial& trial, TimePoint now);
@@ -183,7 +183,7 @@
 // Merges the status of another node and adopts its verdict, if any.
 void MergeStatus(VersionTrial& trial,
                  const std::string& node,
-                 const TrialStatus& note,
+                 const TrialStatus& status,
                  TimePoint now);
 
 // Share of the service's requests that the new version gets now, 0..1.
--- a/src/edge/version_choice.cc
+++ b/src/edge/version_choice.cc
@@ -22,8 +22,8 @@
   };
   for (const auto& [key, cell] : trial.own)
     add(cell);
-  for (const auto& [node, note] : trial.peers)
-    std::for_each(note.counters.begin(), note.counters.end(), add);
+  for (const auto& [node, status] : trial.peers)
+    std::for_each(status.counters.begin(), status.counters.end(), add);
   constexpr std::int64_t kMicrosPerMilli = 1000;
   Log(LogLevel::kInfo, "moves", "progress",
       {{"move", trial.order.service},
@@ -141,8 +141,8 @@
 }
 
 PickedVersion VersionChoice::PickByShare(const VersionTrial& trial,
-                                         const std::string& old,
-                                         const Version& fresh) {
+                                         const std::string& old_version,
+                                         const Version& new_version) {
   const double share = ShareOf(trial, SteadyNow());
   const auto new_weight =
       static_cast<std::uint32_t>(std::lround(share * kWeightScale));
@@ -152,14 +152,15 @@
   // A node that has moved no longer sends requests to the old version.
   picked.fallback_unknown = share < 1;
   if (NextTurn(this->turns[trial.order.service], weights) != 0) {
-    picked.version = old;
+    picked.version = old_version;
     return picked;
   }
   picked.version = trial.order.to;
-  picked.instances = fresh.instances;
-  picked.instances.resize(UpstreamsInUse(trial, fresh.instances.size(), share));
+  picked.instances = new_version.instances;
+  picked.instances.resize(
+      UpstreamsInUse(trial, new_version.instances.size(), share));
   if (share < 1)
-    picked.fallback = old;
+    picked.fallback = old_version;
   return picked;
 }
 
@@ -168,14 +169,14 @@
   const std::string& to = trial.order.to;
   if (trial.progress == MoveProgress::kDone)
     return PickAfterMove(to, versions);
-  const std::string old = MostReady(versions, to);
-  if (old.empty())
+  const std::string old_version = MostReady(versions, to);
+  if (old_version.empty())
     return PickWithoutOld(trial, versions);
-  const auto fresh = versions.find(to);
-  if (fresh != versions.end() && trial.progress == MoveProgress::kRunning)
-    return this->PickByShare(trial, old, fresh->second);
+  const auto new_version = versions.find(to);
+  if (new_version != versions.end() && trial.progress == MoveProgress::kRunning)
+    return this->PickByShare(trial, old_version, new_version->second);
   PickedVersion picked;
-  picked.version = old;
+  picked.version = old_version;
   picked.fallback_unknown = trial.progress == MoveProgress::kRunning;
   return picked;
 }
@@ -294,9 +295,9 @@
     view.old_idle = true;
     if (found != this->ready.end()) {
       for (const auto& [name, version] : found->second) {
-        const bool fresh = name == trial.order.to;
-        view.new_ready = view.new_ready || fresh;
-        view.old_idle = view.old_idle && (fresh || version.load == 0);
+        const bool is_new = name == trial.order.to;
+        view.new_ready = view.new_ready || is_new;
+        view.old_idle = view.old_idle && (is_new || version.load == 0);
       }
     }
     view.all_moved = ShareOf(trial, now) >= 1 && AllHaveMoved(trial, nodes);
--- a/src/edge/version_choice.h
+++ b/src/edge/version_choice.h
@@ -71,12 +71,12 @@
   // The state of a move as recorded in the store; a verdict ends its trial.
   void OnReport(const MoveReport& report);
   void OnPeerStatuses(const std::string& node,
-                      const std::vector<TrialStatus>& notes);
+                      const std::vector<TrialStatus>& statuses);
   void ForgetNode(const std::string& node);
 
   void OnResponse(std::string_view service,
                   std::string_view version,
-                  const TrialResponse& answer);
+                  const TrialResponse& response);
 
   // Judges the trials; `nodes` are the other nodes that are connected.
   void Step(const std::vector<std::string>& nodes);
@@ -98,7 +98,7 @@
 
   void BeginTrial(const MoveOrder& order, bool from_peer);
   // Whether a peer's status names an order that this node has not read.
-  [[nodiscard]] bool IsNewOrder(const TrialStatus& note) const;
+  [[nodiscard]] bool IsNewOrder(const TrialStatus& status) const;
   [[nodiscard]] static std::string MostReady(const Versions& versions,
                                              std::string_view but);
   // Whether unknown versions have at least as many slots as `version`.
@@ -111,8 +111,8 @@
   [[nodiscard]] static PickedVersion PickWithoutOld(const VersionTrial& trial,
                                                     const Versions& versions);
   [[nodiscard]] PickedVersion PickByShare(const VersionTrial& trial,
-                                          const std::string& old,
-                                          const Version& fresh);
+                                          const std::string& old_version,
+                                          const Version& new_version);
   [[nodiscard]] PickedVersion PickInTrial(const VersionTrial& trial,
                                           const Versions& versions);
 
--- a/src/moves/evidence.cc
+++ b/src/moves/evidence.cc
@@ -69,26 +69,26 @@
 }
 
 template <class Archive>
-void SaveLatency(Archive& archive, const EvidenceCounters& cells) {
+void SaveLatency(Archive& archive, const EvidenceCounters& counters) {
   BucketMask mask{};
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
-    if (cells.latency[i] != 0)
+    if (counters.latency[i] != 0)
       mask.at(i / 8) |= static_cast<std::uint8_t>(1U << (i % 8));
   }
   archive(cereal::binary_data(mask.data(), mask.size()));
-  for (std::uint32_t count : cells.latency) {
+  for (std::uint32_t count : counters.latency) {
     if (count != 0)
       archive(count);
   }
 }
 
 template <class Archive>
-void LoadLatency(Archive& archive, EvidenceCounters& cells) {
+void LoadLatency(Archive& archive, EvidenceCounters& counters) {
   BucketMask mask{};
   archive(cereal::binary_data(mask.data(), mask.size()));
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
     if (HasBucket(mask, i))
-      archive(cells.latency[i]);
+      archive(counters.latency[i]);
   }
 }
 
@@ -108,17 +108,17 @@
   return Duration(std::llround(kFirstBoundMicros * std::exp2(doublings)));
 }
 
-Duration LatencyQuantile(const EvidenceCounters& cells, double quantile) {
+Duration LatencyQuantile(const EvidenceCounters& counters, double quantile) {
   std::uint64_t total = 0;
-  for (std::uint32_t count : cells.latency)
+  for (std::uint32_t count : counters.latency)
     total += count;
   if (total == 0)
     return Duration(0);
   const double wanted = quantile * static_cast<double>(total);
   double seen = 0;
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
-    seen += cells.latency[i];
-    if (cells.latency[i] != 0 && seen >= wanted)
+    seen += counters.latency[i];
+    if (counters.latency[i] != 0 && seen >= wanted)
       return LatencyBound(i);
   }
   return LatencyBound(kLatencyBuckets - 1);
@@ -151,25 +151,25 @@
 
 void RecordStart(EvidenceTable& table, EvidenceKey key) {
   key.route.clear();
-  if (EvidenceCounters* cells = FindOrAdd(table, key); cells != nullptr)
-    ++cells->starts;
+  if (EvidenceCounters* counters = FindOrAdd(table, key); counters != nullptr)
+    ++counters->starts;
 }
 
 void RecordExit(EvidenceTable& table, EvidenceKey key, Duration lifetime) {
   if (lifetime > kMaxEarlyExitLifetime)
     return;
   key.route.clear();
-  if (EvidenceCounters* cells = FindOrAdd(table, key); cells != nullptr)
-    ++cells->early_exits;
+  if (EvidenceCounters* counters = FindOrAdd(table, key); counters != nullptr)
+    ++counters->early_exits;
 }
 
 bool MergeRow(EvidenceTable& table, const EvidenceRow& row) {
   auto found = table.rows.find(row.key);
   if (found == table.rows.end()) {
-    EvidenceCounters* cells = FindOrAdd(table, row.key);
-    if (cells == nullptr)
+    EvidenceCounters* counters = FindOrAdd(table, row.key);
+    if (counters == nullptr)
       return false;
-    *cells = row.counters;
+    *counters = row.counters;
     return true;
   }
   if (!MergeCounters(found->second.counters, row.counters))
@@ -181,7 +181,7 @@
 std::vector<EvidenceRow> RowsSince(const EvidenceTable& table,
                                    std::uint64_t revision,
                                    std::size_t limit,
-                                   std::uint64_t* reached) {
+                                   std::uint64_t* next_revision) {
   std::vector<std::pair<std::uint64_t, const EvidenceKey*>> changed;
   for (const auto& [key, stored] : table.rows) {
     if (stored.revision > revision)
@@ -190,7 +190,7 @@
   std::sort(changed.begin(), changed.end());
   if (changed.size() > limit)
     changed.resize(limit);
-  *reached = changed.empty() ? revision : changed.back().first;
+  *next_revision = changed.empty() ? revision : changed.back().first;
   std::vector<EvidenceRow> rows;
   rows.reserve(changed.size());
   for (const auto& [at, key] : changed)
@@ -222,16 +222,16 @@
   });
 }
 
-void AddCounters(EvidenceCounters& cells, const EvidenceCounters& other) {
-  cells.runs += other.runs;
-  cells.failures += other.failures;
-  cells.shed += other.shed;
-  cells.crash_suspects += other.crash_suspects;
-  cells.cold += other.cold;
-  cells.starts += other.starts;
-  cells.early_exits += other.early_exits;
+void AddCounters(EvidenceCounters& counters, const EvidenceCounters& other) {
+  counters.runs += other.runs;
+  counters.failures += other.failures;
+  counters.shed += other.shed;
+  counters.crash_suspects += other.crash_suspects;
+  counters.cold += other.cold;
+  counters.starts += other.starts;
+  counters.early_exits += other.early_exits;
   for (std::size_t i = 0; i < kLatencyBuckets; ++i)
-    cells.latency[i] += other.latency[i];
+    counters.latency[i] += other.latency[i];
 }
 
 std::string EncodeRow(const EvidenceRow& row) {
@@ -242,10 +242,11 @@
     moves::SaveText(archive, row.key.data_center);
     moves::SaveText(archive, row.key.version);
     moves::SaveText(archive, row.key.route);
-    const EvidenceCounters& cells = row.counters;
-    archive(cells.runs, cells.failures, cells.shed, cells.crash_suspects,
-            cells.cold, cells.starts, cells.early_exits);
-    SaveLatency(archive, cells);
+    const EvidenceCounters& counters = row.counters;
+    archive(counters.runs, counters.failures, counters.shed,
+            counters.crash_suspects, counters.cold, counters.starts,
+            counters.early_exits);
+    SaveLatency(archive, counters);
   });
 }
 
@@ -257,10 +258,11 @@
     moves::LoadText(archive, row.key.data_center);
     moves::LoadText(archive, row.key.version);
     moves::LoadText(archive, row.key.route);
-    EvidenceCounters& cells = row.counters;
-    archive(cells.runs, cells.failures, cells.shed, cells.crash_suspects,
-            cells.cold, cells.starts, cells.early_exits);
-    LoadLatency(archive, cells);
+    EvidenceCounters& counters = row.counters;
+    archive(counters.runs, counters.failures, counters.shed,
+            counters.crash_suspects, counters.cold, counters.starts,
+            counters.early_exits);
+    LoadLatency(archive, counters);
     return true;
   });
 }
--- a/src/moves/feeds.cc
+++ b/src/moves/feeds.cc
@@ -23,16 +23,16 @@
 void AddRow(ScopeTable& table,
             const std::string& scope,
             const EvidenceKey& key,
-            const EvidenceCounters& cells,
-            bool fresh,
+            const EvidenceCounters& counters,
+            bool is_new,
             bool counted) {
   ScopeTotals& scope_totals = table.totals[{scope, key.data_center}];
   scope_totals.scope = scope;
   scope_totals.data_center = key.data_center;
   scope_totals.counted = counted;
-  AddCounters(
-      fresh ? scope_totals.totals.new_version : scope_totals.totals.old_version,
-      cells);
+  AddCounters(is_new ? scope_totals.totals.new_version
+                     : scope_totals.totals.old_version,
+              counters);
 }
 
 }  // namespace
@@ -60,21 +60,21 @@
   for (auto row = rows.lower_bound(first);
        row != rows.end() && row->first.move == move.config.id; ++row) {
     const EvidenceKey& key = row->first;
-    const EvidenceCounters& cells = row->second.counters;
-    const bool fresh = key.version == move.config.to;
-    if (key.route.empty() || (!fresh && key.version != move.config.from))
+    const EvidenceCounters& counters = row->second.counters;
+    const bool is_new = key.version == move.config.to;
+    if (key.route.empty() || (!is_new && key.version != move.config.from))
       continue;
     const bool counted = pooled && !IsCatchingUp(move, key.data_center, in.now);
-    AddRow(table, "everywhere", key, cells, fresh, counted);
-    AddRow(table, "everywhere/" + key.route, key, cells, fresh, counted);
+    AddRow(table, "everywhere", key, counters, is_new, counted);
+    AddRow(table, "everywhere/" + key.route, key, counters, is_new, counted);
     if (key.data_center != state.data_center)
       continue;
-    AddRow(table, "*", key, cells, fresh, true);
-    AddRow(table, key.route, key, cells, fresh, true);
+    AddRow(table, "*", key, counters, is_new, true);
+    AddRow(table, key.route, key, counters, is_new, true);
   }
   std::vector<ScopeTotals> all;
-  for (auto& [key, feed] : table.totals)
-    all.push_back(std::move(feed));
+  for (auto& [key, totals] : table.totals)
+    all.push_back(std::move(totals));
   return all;
 }
 
--- a/src/moves/judge.cc
+++ b/src/moves/judge.cc
@@ -133,12 +133,12 @@
 Judgement StepJudge(JudgeState& state,
                     const JudgeSettings& settings,
                     const MoveBounds& bounds,
-                    const std::vector<ScopeTotals>& feeds,
+                    const std::vector<ScopeTotals>& scope_totals,
                     bool old_serves,
                     TimePoint now) {
   const bool held = state.held_since != TimePoint();
   UpdateBounds(state, bounds);
-  ObserveScopes(state, settings, feeds, now);
+  ObserveScopes(state, settings, scope_totals, now);
   const moves::ScoringContext context{settings, state.bounds, state.tables};
   Judgement strongest;
   for (auto& [name, scope] : state.scopes) {
@@ -154,7 +154,7 @@
     strongest.tallies = scored.tallies;
   }
   strongest.finding = UpdateFinding(state, settings, strongest,
-                                    MaxOldRuns(feeds), old_serves, now);
+                                    MaxOldRuns(scope_totals), old_serves, now);
   // Only the old version was used during the hold, so its responses are not
   // from the same time as those of the new version.
   if (held && state.held_since == TimePoint()) {
--- a/src/moves/schedule.cc
+++ b/src/moves/schedule.cc
@@ -25,12 +25,12 @@
 constexpr double kBucketMidpointFactor = 0.87;
 
 // Mean of the counted latencies, in seconds.
-double MeanLatency(const EvidenceCounters& cells) {
+double MeanLatency(const EvidenceCounters& counters) {
   double sum = 0;
   double count = 0;
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
-    sum += cells.latency[i] * Seconds(LatencyBound(i));
-    count += cells.latency[i];
+    sum += counters.latency[i] * Seconds(LatencyBound(i));
+    count += counters.latency[i];
   }
   return count > 0 ? kBucketMidpointFactor * sum / count : 0;
 }
--- a/src/moves/scope_judge.cc
+++ b/src/moves/scope_judge.cc
@@ -178,16 +178,16 @@
 
 }  // namespace
 
-void ObserveTotals(ScopeState& scope, const ScopeTotals& feed, bool counted) {
-  VersionTotals& seen = scope.last_totals[feed.data_center];
-  const VersionTotals grown = {
-      Growth(feed.totals.new_version, seen.new_version),
-      Growth(feed.totals.old_version, seen.old_version)};
-  seen = feed.totals;
+void ObserveTotals(ScopeState& scope, const ScopeTotals& totals, bool counted) {
+  VersionTotals& last_totals = scope.last_totals[totals.data_center];
+  const VersionTotals growth = {
+      Growth(totals.totals.new_version, last_totals.new_version),
+      Growth(totals.totals.old_version, last_totals.old_version)};
+  last_totals = totals.totals;
   if (counted)
-    scope.current_totals = SumOf(scope.current_totals, grown);
+    scope.current_totals = SumOf(scope.current_totals, growth);
   else
-    AddCounters(scope.history, grown.old_version);
+    AddCounters(scope.history, growth.old_version);
 }
 
 void DropUnsummedStrata(ScopeState& scope, TimePoint now) {
--- a/src/moves/step.cc
+++ b/src/moves/step.cc
@@ -100,7 +100,7 @@
 LimitedShare ComputeShare(const MovesSettings& settings,
                           MoveState& move,
                           const StepInput& in,
-                          const EvidenceCounters& fresh) {
+                          const EvidenceCounters& new_totals) {
   const MoveConfig& config = move.config;
   if (in.now < config.start)
     return {0, ShareLimit::kNotStarted};
@@ -109,7 +109,8 @@
     demand.rate = std::max(demand.rate, kAssumedUnknownRate);
   const moves::Ramp ramp = moves::RampOf(settings, config, demand.rate);
   const bool no_fault = move.judgement.finding == Finding::kNone;
-  const std::uint64_t good = fresh.runs - std::min(fresh.runs, fresh.failures);
+  const std::uint64_t good =
+      new_totals.runs - std::min(new_totals.runs, new_totals.failures);
   if (no_fault) {
     move.evidence_share =
         std::max(move.evidence_share,
--- a/src/moves/version_trial.cc
+++ b/src/moves/version_trial.cc
@@ -25,12 +25,12 @@
   double sum_ms = 0;
 };
 
-void Add(Sums& sums, const TrialCounters& cell) {
-  sums.runs += cell.runs;
-  sums.bad += cell.bad;
-  sums.slow += cell.slow;
-  sums.timed += cell.timed;
-  sums.sum_ms += cell.total_ms;
+void Add(Sums& sums, const TrialCounters& counters) {
+  sums.runs += counters.runs;
+  sums.bad += counters.bad;
+  sums.slow += counters.slow;
+  sums.timed += counters.timed;
+  sums.sum_ms += counters.total_ms;
 }
 
 void Add(Sums& sums, const Sums& more) {
@@ -61,8 +61,8 @@
   RouteTable table;
   for (const auto& [key, cell] : trial.own)
     AddToTable(table, cell);
-  for (const auto& [node, note] : trial.peers) {
-    for (const TrialCounters& cell : note.counters)
+  for (const auto& [node, status] : trial.peers) {
+    for (const TrialCounters& cell : status.counters)
       AddToTable(table, cell);
   }
   for (const TrialCounters& cell : trial.earlier_counters)
@@ -111,12 +111,12 @@
                   old_mean + settings.max_slowdown_ms);
 }
 
-bool IsSlowResponse(const VersionTrial& trial, const TrialResponse& answer) {
-  const auto mean = trial.old_mean_ms.find(answer.route);
-  if (!answer.timed || mean == trial.old_mean_ms.end())
+bool IsSlowResponse(const VersionTrial& trial, const TrialResponse& response) {
+  const auto mean = trial.old_mean_ms.find(response.route);
+  if (!response.timed || mean == trial.old_mean_ms.end())
     return false;
   const double took_ms =
-      static_cast<double>(answer.latency.count()) / kMicrosPerMilli;
+      static_cast<double>(response.latency.count()) / kMicrosPerMilli;
   const TrialSettings& settings = trial.settings;
   return took_ms >
          mean->second * settings.max_slowdown + settings.max_slowdown_ms;
@@ -135,9 +135,9 @@
 double FractionSince(const VersionTrial& trial,
                      TimePoint start,
                      TimePoint now) {
-  const double whole = static_cast<double>(trial.order.duration.count());
+  const double duration = static_cast<double>(trial.order.duration.count());
   const double passed = static_cast<double>((now - start).count());
-  return whole > 0 ? passed / whole : 1;
+  return duration > 0 ? passed / duration : 1;
 }
 
 double FractionElapsed(const VersionTrial& trial, TimePoint now) {
@@ -170,23 +170,23 @@
   return kProgressNames.at(static_cast<std::size_t>(progress));
 }
 
-void RecordTrialResponse(VersionTrial& trial, const TrialResponse& answer) {
+void RecordTrialResponse(VersionTrial& trial, const TrialResponse& response) {
   TrialCounters& counters =
-      trial.own[{std::string(answer.instance), std::string(answer.route)}];
+      trial.own[{std::string(response.instance), std::string(response.route)}];
   if (counters.runs == 0) {
-    counters.instance = std::string(answer.instance);
-    counters.route = std::string(answer.route);
-    counters.of_new_version = answer.from_new_version;
+    counters.instance = std::string(response.instance);
+    counters.route = std::string(response.route);
+    counters.of_new_version = response.from_new_version;
   }
   ++counters.runs;
-  const bool slow = !answer.bad && IsSlowResponse(trial, answer);
-  counters.bad += answer.bad || slow ? 1 : 0;
+  const bool slow = !response.bad && IsSlowResponse(trial, response);
+  counters.bad += response.bad || slow ? 1 : 0;
   counters.slow += slow ? 1 : 0;
-  if (!answer.timed)
+  if (!response.timed)
     return;
   ++counters.timed;
   counters.total_ms += static_cast<std::uint32_t>(
-      std::min(answer.latency.count() / kMicrosPerMilli, kMaxTimedMillis));
+      std::min(response.latency.count() / kMicrosPerMilli, kMaxTimedMillis));
 }
 
 TrialStatus StatusOf(const VersionTrial& trial, TimePoint now) {
@@ -267,22 +267,23 @@
 
 TrialFinding JudgeTrial(const VersionTrial& trial) {
   TrialFinding strongest = TrialFinding::kNone;
-  Sums fresh;
-  Sums old;
+  Sums new_version;
+  Sums old_version;
   for (const auto& [name, route] : RouteTableOf(trial)) {
     strongest = std::max(strongest, FindingOn(trial.settings, route));
-    Add(old, route.old_version);
+    Add(old_version, route.old_version);
     for (const auto& [instance, sums] : route.new_by_upstream)
-      Add(fresh, sums);
+      Add(new_version, sums);
   }
   const TrialSettings& settings = trial.settings;
-  const double extra_slow =
-      RatioOf(fresh.slow, fresh.runs) - RatioOf(old.slow, old.runs);
-  const double extra_failed = RatioOf(fresh.bad - fresh.slow, fresh.runs) -
-                              RatioOf(old.bad - old.slow, old.runs);
+  const double extra_slow = RatioOf(new_version.slow, new_version.runs) -
+                            RatioOf(old_version.slow, old_version.runs);
+  const double extra_failed =
+      RatioOf(new_version.bad - new_version.slow, new_version.runs) -
+      RatioOf(old_version.bad - old_version.slow, old_version.runs);
   const bool worse = extra_slow > settings.max_extra_slow_together ||
                      extra_failed > settings.max_extra_failed_together;
-  if (fresh.bad >= settings.min_bad_together && worse)
+  if (new_version.bad >= settings.min_bad_together && worse)
     return TrialFinding::kFault;
   return strongest;
 }
--- a/tests/unit/moves_evidence_test.cc
+++ b/tests/unit/moves_evidence_test.cc
@@ -116,8 +116,8 @@
   row.counters.latency.fill(std::numeric_limits<std::uint32_t>::max());
   const std::string bytes = EncodeRow(row);
   cr_assert(bytes.size() <= kMaxEvidenceRowBytes, "%zu bytes", bytes.size());
-  const Result<EvidenceRow> back = DecodeRow(bytes);
-  cr_assert(back.has_value() && *back == row);
+  const Result<EvidenceRow> decoded = DecodeRow(bytes);
+  cr_assert(decoded.has_value() && *decoded == row);
 }
 
 // A truncated datagram must be refused, not decoded as smaller counters.
--- a/tests/unit/moves_faults_test.cc
+++ b/tests/unit/moves_faults_test.cc
@@ -78,11 +78,11 @@
       if (trial.time == 120) {
         MovesState& node = trial.nodes.at(1);
         before = node.moves.at(std::string(kMove)).share;
-        MovesState fresh;
-        fresh.node = node.node;
-        fresh.data_center = node.data_center;
-        fresh.reports = node.reports;
-        node = fresh;
+        MovesState restarted;
+        restarted.node = node.node;
+        restarted.data_center = node.data_center;
+        restarted.reports = node.reports;
+        node = restarted;
         trial.tables.at(1) = {};
       }
       if (trial.time == 126) {
@@ -105,11 +105,11 @@
     trial.trace = [&trial] {
       MovesState& node = trial.nodes.at(1);
       if (trial.time == 20) {
-        MovesState fresh;
-        fresh.node = node.node;
-        fresh.data_center = node.data_center;
-        fresh.reports = node.reports;
-        node = fresh;
+        MovesState restarted;
+        restarted.node = node.node;
+        restarted.data_center = node.data_center;
+        restarted.reports = node.reports;
+        node = restarted;
       }
       if (trial.time >= 20 && trial.time < 26) {
         trial.tables.at(1) = {};
@@ -134,12 +134,12 @@
       if (trial.time != static_cast<double>(tick) || tick % 40 != 30)
         return;
       const std::size_t place = tick / 40 % 3;
-      MovesState fresh;
-      fresh.node = trial.nodes.at(place).node;
-      fresh.data_center = trial.nodes.at(place).data_center;
+      MovesState restarted;
+      restarted.node = trial.nodes.at(place).node;
+      restarted.data_center = trial.nodes.at(place).data_center;
       // The verdicts come from a running peer.
-      fresh.verdicts = trial.nodes.at((place + 1) % 3).verdicts;
-      trial.nodes.at(place) = fresh;
+      restarted.verdicts = trial.nodes.at((place + 1) % 3).verdicts;
+      trial.nodes.at(place) = restarted;
       trial.tables.at(place) = {};
     };
     const Outcome outcome = trial.Run();
@@ -174,11 +174,12 @@
   // Every five seconds until the log accepted it.
   cr_assert(appends >= 5 && appends <= 8, "%d appends", appends);
   // Restarted nodes read the log.
-  MovesState fresh;
-  fresh.data_center = node.data_center;
-  OnLoggedVerdict(fresh, node.verdicts.begin()->second, trial.Now());
-  cr_assert(StepMoves(fresh, trial.snapshot, {}, {}, trial.Now()).size() <= 3);
-  cr_assert(ShareOf(fresh, trial.snapshot, "ledger-desk", "v2") == 0);
+  MovesState restarted;
+  restarted.data_center = node.data_center;
+  OnLoggedVerdict(restarted, node.verdicts.begin()->second, trial.Now());
+  cr_assert(StepMoves(restarted, trial.snapshot, {}, {}, trial.Now()).size() <=
+            3);
+  cr_assert(ShareOf(restarted, trial.snapshot, "ledger-desk", "v2") == 0);
 }
 
 }  // namespace
--- a/tests/unit/moves_trial_test.cc
+++ b/tests/unit/moves_trial_test.cc
@@ -15,15 +15,15 @@
   double max_requests_after_fault = 0;
 };
 
-Sums RunSeeds(Class kind, int seeds, double least_rate, double most_rate) {
+Sums RunSeeds(Class kind, int seeds, double min_rate, double max_rate) {
   Sums sums;
   for (int i = 0; i < seeds; ++i) {
     Setup setup;
     setup.kind = kind;
     setup.seed = 9000 + static_cast<std::uint64_t>(i);
     setup.site = kSites.at(static_cast<std::size_t>(i) % kSites.size());
-    const double part = seeds > 1 ? i / (seeds - 1.0) : 0;
-    setup.rate = least_rate * std::pow(most_rate / least_rate, part);
+    const double fraction = seeds > 1 ? i / (seeds - 1.0) : 0;
+    setup.rate = min_rate * std::pow(max_rate / min_rate, fraction);
     const Outcome outcome = Trial(setup).Run();
     ++sums.trials;
     sums.done += outcome.done_in_time ? 1 : 0;
@@ -36,18 +36,20 @@
   return sums;
 }
 
-void ExpectRolledBack(Class kind, double least_rate, double most_after_fault) {
-  const Sums sums = RunSeeds(kind, 24, least_rate, 500);
+void ExpectRolledBack(Class kind,
+                      double min_rate,
+                      double max_requests_after_fault) {
+  const Sums sums = RunSeeds(kind, 24, min_rate, 500);
   cr_assert(sums.rollbacks == sums.trials, "%d of %d", sums.rollbacks,
             sums.trials);
   cr_assert(sums.split == 0);
-  cr_assert(sums.max_requests_after_fault <= most_after_fault, "%.0f requests",
-            sums.max_requests_after_fault);
+  cr_assert(sums.max_requests_after_fault <= max_requests_after_fault,
+            "%.0f requests", sums.max_requests_after_fault);
 }
 
-void ExpectDone(Class kind, double most_rate = 500) {
-  const Sums sums = RunSeeds(kind, 24, 0.2, most_rate);
-  cr_assert(sums.rollbacks == 0, "%d taken back", sums.rollbacks);
+void ExpectDone(Class kind, double max_rate = 500) {
+  const Sums sums = RunSeeds(kind, 24, 0.2, max_rate);
+  cr_assert(sums.rollbacks == 0, "%d rolled back", sums.rollbacks);
   cr_assert(sums.done == sums.trials, "%d of %d", sums.done, sums.trials);
 }
 
@@ -111,7 +113,7 @@
 // Something that both versions depend on fails for a while.
 Test(moves_trial, a_shared_fault_is_not_blamed_on_the_new_version) {
   const Sums sums = RunSeeds(Class::kSharedFault, 48, 2, 2000);
-  cr_assert(sums.rollbacks == 0, "%d taken back", sums.rollbacks);
+  cr_assert(sums.rollbacks == 0, "%d rolled back", sums.rollbacks);
   cr_assert(sums.done == sums.trials, "%d of %d", sums.done, sums.trials);
 }
 
--- a/tests/unit/version_choice_test.cc
+++ b/tests/unit/version_choice_test.cc
@@ -11,12 +11,12 @@
 constexpr char kDesk[] = "registry-desk";
 
 TrialStatus StatusTo(const char* version, std::uint32_t age_ms) {
-  TrialStatus note;
-  note.service = kDesk;
-  note.to = version;
-  note.age_ms = age_ms;
-  note.duration_ms = 14000;
-  return note;
+  TrialStatus status;
+  status.service = kDesk;
+  status.to = version;
+  status.age_ms = age_ms;
+  status.duration_ms = 14000;
+  return status;
 }
 
 void ReadOrder(VersionChoice& versions, const char* version) {
@@ -42,9 +42,9 @@
 // are ready.
 Test(version_choice, a_verdict_from_a_peer_applies_without_the_order) {
   VersionChoice versions;
-  TrialStatus note = StatusTo("v2", 0);
-  note.progress = MoveProgress::kTakenBack;
-  versions.OnPeerStatuses("bole-2", {note});
+  TrialStatus status = StatusTo("v2", 0);
+  status.progress = MoveProgress::kTakenBack;
+  versions.OnPeerStatuses("bole-2", {status});
   versions.SetReady({{kDesk, "v1", "i-1", 10, 0}, {kDesk, "v2", "i-2", 90, 0}});
   cr_assert(versions.Pick(kDesk).version == "v1");
 }
@@ -67,7 +67,7 @@
 
 // A request that failed at upstreams of unknown version is retried at the known
 // one; otherwise its caller would get an error while an upstream is idle.
-Test(version_choice, a_known_version_is_spare_while_most_are_unknown) {
+Test(version_choice, a_known_version_is_the_fallback_while_most_are_unknown) {
   VersionChoice versions;
   versions.SetReady({{kDesk, "", "i-1", 4, 0}, {kDesk, "v1", "i-2", 4, 0}});
   const PickedVersion picked = versions.Pick(kDesk);
@@ -135,22 +135,22 @@
 // A request that fails at the few upstreams in use of the new version is
 // retried at the old one, but never the other way round, as retries would
 // exceed the new version's share.
-Test(version_choice, the_old_version_is_spare_in_a_move) {
+Test(version_choice, the_old_version_is_the_fallback_in_a_move) {
   VersionChoice versions;
   ReadOrder(versions, "v2");
   versions.SetReady({{kDesk, "v1", "i-1", 4, 0}, {kDesk, "v2", "i-2", 4, 0}});
   versions.Step({});
   std::this_thread::sleep_for(std::chrono::milliseconds(250));
-  int fresh = 0;
+  int new_version_picks = 0;
   for (int i = 0; i < 200; ++i) {
     const PickedVersion picked = versions.Pick(kDesk);
     const bool to_new = FitOf(picked, "v2", "i-2") == VersionFit::kPreferred;
-    fresh += to_new ? 1 : 0;
+    new_version_picks += to_new ? 1 : 0;
     cr_assert(FitOf(picked, "v1", "i-1") ==
               (to_new ? VersionFit::kFallback : VersionFit::kPreferred));
     cr_assert(to_new || FitOf(picked, "v2", "i-2") == VersionFit::kNone);
   }
-  cr_assert(fresh > 0);
+  cr_assert(new_version_picks > 0);
 }
 
 // Nodes lag behind each other: one still reports the previous move.
--- a/tests/unit/version_trial_test.cc
+++ b/tests/unit/version_trial_test.cc
@@ -46,10 +46,10 @@
 // Simulates one service with nine upstreams of each version at kRate requests
 // per second, as one node sees it. Responses are counted on arrival, and the
 // trial is judged ten times a second. Seeded, on a virtual clock.
-Simulation Simulate(const ResponseModel& fresh,
+Simulation Simulate(const ResponseModel& new_version,
                     Duration duration,
                     std::uint64_t seed,
-                    const ResponseModel& old = RespondNormally) {
+                    const ResponseModel& old_version = RespondNormally) {
   constexpr int kUpstreams = 9;
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", duration};
@@ -89,7 +89,8 @@
       const auto upstream = static_cast<int>(
           rng() % (to_new ? in_use : static_cast<std::size_t>(kUpstreams)));
       const double load = share * kUpstreams / static_cast<double>(in_use);
-      outcome = (to_new ? fresh : old)({upstream, route, passed, load}, rng);
+      outcome = (to_new ? new_version : old_version)(
+          {upstream, route, passed, load}, rng);
       const std::size_t name_index =
           static_cast<std::size_t>(upstream) + (to_new ? kUpstreams : 0U);
       response.instance = names[name_index];
@@ -293,15 +294,15 @@
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(16000)};
   trial.started_at = kStart;
-  TrialStatus note;
-  note.service = "registry-desk";
-  note.to = "v2";
-  note.progress = MoveProgress::kTakenBack;
-  MergeStatus(trial, "bole-2", note, kStart);
+  TrialStatus status;
+  status.service = "registry-desk";
+  status.to = "v2";
+  status.progress = MoveProgress::kTakenBack;
+  MergeStatus(trial, "bole-2", status, kStart);
   cr_assert(trial.progress == MoveProgress::kTakenBack);
   cr_assert(ShareOf(trial, kStart) == 0);
-  note.progress = MoveProgress::kDone;
-  MergeStatus(trial, "bole-3", note, kStart);
+  status.progress = MoveProgress::kDone;
+  MergeStatus(trial, "bole-3", status, kStart);
   cr_assert(trial.progress == MoveProgress::kTakenBack);
 }
 
@@ -312,13 +313,13 @@
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(16000)};
   trial.started_at = kStart;
-  for (std::uint64_t life = 1; life <= 6; ++life) {
-    TrialStatus note;
-    note.service = "registry-desk";
-    note.to = "v2";
-    note.incarnation = life;
-    note.counters.push_back({"i-1", "read", true, 10, 5, 0, 0, 0});
-    MergeStatus(trial, "bole-2", note, kStart);
+  for (std::uint64_t incarnation = 1; incarnation <= 6; ++incarnation) {
+    TrialStatus status;
+    status.service = "registry-desk";
+    status.to = "v2";
+    status.incarnation = incarnation;
+    status.counters.push_back({"i-1", "read", true, 10, 5, 0, 0, 0});
+    MergeStatus(trial, "bole-2", status, kStart);
   }
   cr_assert(JudgeTrial(trial) == TrialFinding::kFault);
   trial.earlier_counters.clear();
@@ -333,11 +334,11 @@
   trial.order = {"registry-desk", "v2", Ms(10000)};
   trial.started_at = kStart;
   (void)StepTrial(trial, {true, false, false}, kStart);
-  TrialStatus note;
-  note.service = "registry-desk";
-  note.to = "v2";
-  note.age_ms = 6000;
-  MergeStatus(trial, "bole-2", note, kStart + Ms(500));
+  TrialStatus status;
+  status.service = "registry-desk";
+  status.to = "v2";
+  status.age_ms = 6000;
+  MergeStatus(trial, "bole-2", status, kStart + Ms(500));
   cr_assert(ShareOf(trial, kStart + Ms(500)) == 1);
 }
 
