--- a/src/moves/feeds.h
+++ b/src/moves/feeds.h
@@ -6,8 +6,9 @@
 
 namespace teaselspread::moves {
 
-// Marks silent data centres and those that were silent recently. Their rows
-// bring minutes of responses at once, of which only the sums are known.
+// Marks silent data centres until `silence_timeout` after their return. Their
+// rows then bring minutes of responses at once, of which only the sums are
+// known.
 void UpdateCatchingUp(MoveState& move,
                       const StepInput& in,
                       Duration silence_timeout);
--- a/src/moves/ratio_test.cc
+++ b/src/moves/ratio_test.cc
@@ -19,7 +19,7 @@
   std::array<double, kAlternatives> fault_increases{};
 };
 
-// At the bounds the test is neutral: an increase of 2.5 times the bound and a
+// At the bounds the test is neutral: a fault of 2.5 times the bound and a
 // tolerated increase of a quarter of it are equally likely near the bound. A
 // response is slow above the old median times the bound, so if half of the
 // responses are slow, the median is at the bound.
--- a/src/moves/reports.cc
+++ b/src/moves/reports.cc
@@ -119,10 +119,10 @@
              actions);
 }
 
-void RespreadVerdict(const MovesState& state,
-                     MoveState& move,
-                     const StepInput& in,
-                     Actions& actions) {
+void ResendVerdict(const MovesState& state,
+                   MoveState& move,
+                   const StepInput& in,
+                   Actions& actions) {
   const MovesSettings& settings = state.settings;
   const Duration interval = AnyDataCenterLags(state, move, in)
                                 ? settings.report_interval
--- a/src/moves/reports.h
+++ b/src/moves/reports.h
@@ -27,10 +27,10 @@
 
 // Sends the verdict again, at a short interval while a data centre that is
 // reachable does not know it.
-void RespreadVerdict(const MovesState& state,
-                     MoveState& move,
-                     const StepInput& in,
-                     Actions& actions);
+void ResendVerdict(const MovesState& state,
+                   MoveState& move,
+                   const StepInput& in,
+                   Actions& actions);
 
 // Every data centre has reported recently and had a clean watch period at full
 // share.
--- a/src/moves/step.cc
+++ b/src/moves/step.cc
@@ -124,8 +124,8 @@
   LimitTo(limited, move.evidence_share, ShareLimit::kEvidence);
   LimitTo(limited, moves::CapacityShare(settings, demand, new_slots, old_slots),
           ShareLimit::kCapacity);
-  // A fault of the new version cannot be told from a shared one without
-  // responses of the old version, so a suspicion reduces a full share.
+  // Without responses of the old version a fault of the new one cannot be told
+  // from a shared fault, so a suspicion limits the share to one half.
   if (!no_fault && old_slots > 0)
     LimitTo(limited, 0.5, ShareLimit::kSuspicion);
   if (move.judgement.finding == Finding::kHeld && old_slots > 0)
@@ -208,7 +208,7 @@
     move.share = move.stage == MoveStage::kDone ? 1 : 0;
     move.limit = ShareLimit::kNone;
     moves::ReportEnded(state, move, in.now, actions);
-    moves::RespreadVerdict(state, move, in, actions);
+    moves::ResendVerdict(state, move, in, actions);
   }
   AppendIfDue(state, move, in.now, actions);
 }
--- a/src/moves/version_trial.cc
+++ b/src/moves/version_trial.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::int64_t kMicrosPerMilli = 1000;
-// Cap on the latency that one response adds to a mean, so that a hung request
-// does not dominate it.
+// Cap on the latency that one response adds to a mean: a hung request shows
+// that an upstream is slow, but not how slow.
 constexpr std::int64_t kMaxTimedMillis = 10000;
 
 constexpr std::array<std::string_view, 3> kProgressNames = {"running", "done",
