--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -45,7 +45,7 @@
 // Rank of a candidate, lower is better; only those of the best rank are used. A
 // spare version or a link in doubt is still better than a refusal.
 int RankOf(VersionFit fit, bool in_doubt) {
-  const int spare = fit == VersionFit::kSpare ? 1 : 0;
+  const int spare = fit == VersionFit::kFallback ? 1 : 0;
   return spare + (in_doubt ? 2 : 0);
 }
 
--- a/src/moves/evidence.cc
+++ b/src/moves/evidence.cc
@@ -8,171 +8,171 @@
 namespace teaselspread {
 namespace {
 
-constexpr double kFirstBound = 500.0;  // microseconds
+constexpr double kFirstBoundMicros = 500.0;  // microseconds
 constexpr double kBucketsPerDoubling = 2.5;
-// An upstream that vanishes later than this did not crash on start.
-constexpr Duration kEarlyLife = std::chrono::seconds(30);
+// Exits after a longer time ready do not count as a crash on start.
+constexpr Duration kMaxEarlyExitLifetime = std::chrono::seconds(30);
 
-EvidenceCells* FindOrAdd(EvidenceTable& table, const EvidenceKey& key) {
+EvidenceCounters* FindOrAdd(EvidenceTable& table, const EvidenceKey& key) {
   if (auto found = table.rows.find(key); found != table.rows.end()) {
     found->second.revision = ++table.revision;
-    return &found->second.cells;
+    return &found->second.counters;
   }
   if (table.rows.size() >= kMaxEvidenceRows) {
-    ++table.refused;
+    ++table.refused_rows;
     return nullptr;
   }
-  StoredCells& stored = table.rows[key];
+  StoredCounters& stored = table.rows[key];
   stored.revision = ++table.revision;
-  return &stored.cells;
+  return &stored.counters;
 }
 
-void CountLatency(EvidenceCells& cells, const AnswerSample& sample) {
-  if (sample.cold && cells.cold < kColdAnswers) {
-    ++cells.cold;
+void CountLatency(EvidenceCounters& counters, const ResponseSample& sample) {
+  if (sample.cold && counters.cold < kMaxColdResponses) {
+    ++counters.cold;
     return;
   }
-  ++cells.latency.at(LatencyBucketOf(sample.latency));
+  ++counters.latency.at(LatencyBucketIndex(sample.latency));
 }
 
 template <class T>
-bool Raise(T& mine, T theirs) {
+bool RaiseTo(T& mine, T theirs) {
   if (theirs <= mine)
     return false;
   mine = theirs;
   return true;
 }
 
-bool MergeCells(EvidenceCells& mine, const EvidenceCells& theirs) {
-  bool grew = Raise(mine.runs, theirs.runs);
-  grew |= Raise(mine.failures, theirs.failures);
-  grew |= Raise(mine.shed, theirs.shed);
-  grew |= Raise(mine.crash_suspects, theirs.crash_suspects);
-  grew |= Raise(mine.cold, theirs.cold);
-  grew |= Raise(mine.starts, theirs.starts);
-  grew |= Raise(mine.early_exits, theirs.early_exits);
+bool MergeCounters(EvidenceCounters& mine, const EvidenceCounters& theirs) {
+  bool changed = RaiseTo(mine.runs, theirs.runs);
+  changed |= RaiseTo(mine.failures, theirs.failures);
+  changed |= RaiseTo(mine.shed, theirs.shed);
+  changed |= RaiseTo(mine.crash_suspects, theirs.crash_suspects);
+  changed |= RaiseTo(mine.cold, theirs.cold);
+  changed |= RaiseTo(mine.starts, theirs.starts);
+  changed |= RaiseTo(mine.early_exits, theirs.early_exits);
   for (std::size_t i = 0; i < kLatencyBuckets; ++i)
-    grew |= Raise(mine.latency[i], theirs.latency[i]);
-  return grew;
+    changed |= RaiseTo(mine.latency[i], theirs.latency[i]);
+  return changed;
 }
 
 bool Matches(std::string_view wanted, const std::string& value) {
   return wanted.empty() || wanted == value;
 }
 
-// Most buckets of a row are empty: a bit for each says which ones follow.
+// Most buckets of a row are empty, so a bit mask marks the encoded ones.
 constexpr std::size_t kMaskBytes = (kLatencyBuckets + 7) / 8;
 using BucketMask = std::array<std::uint8_t, kMaskBytes>;
 
-bool Holds(const BucketMask& mask, std::size_t bucket) {
+bool HasBucket(const BucketMask& mask, std::size_t bucket) {
   return ((mask.at(bucket / 8) >> (bucket % 8)) & 1U) != 0;
 }
 
 template <class Archive>
-void SaveLatency(Archive& archive, const EvidenceCells& cells) {
+void SaveLatency(Archive& archive, const EvidenceCounters& counters) {
   BucketMask mask{};
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
-    if (cells.latency[i] != 0)
+    if (counters.latency[i] != 0)
       mask.at(i / 8) |= static_cast<std::uint8_t>(1U << (i % 8));
   }
   archive(cereal::binary_data(mask.data(), mask.size()));
-  for (std::uint32_t count : cells.latency) {
+  for (std::uint32_t count : counters.latency) {
     if (count != 0)
       archive(count);
   }
 }
 
 template <class Archive>
-void LoadLatency(Archive& archive, EvidenceCells& cells) {
+void LoadLatency(Archive& archive, EvidenceCounters& counters) {
   BucketMask mask{};
   archive(cereal::binary_data(mask.data(), mask.size()));
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
-    if (Holds(mask, i))
-      archive(cells.latency[i]);
+    if (HasBucket(mask, i))
+      archive(counters.latency[i]);
   }
 }
 
 }  // namespace
 
-std::size_t LatencyBucketOf(Duration latency) {
+std::size_t LatencyBucketIndex(Duration latency) {
   const auto micros = static_cast<double>(latency.count());
-  if (micros <= kFirstBound)
+  if (micros <= kFirstBoundMicros)
     return 0;
   const double index =
-      std::ceil(std::log2(micros / kFirstBound) * kBucketsPerDoubling);
+      std::ceil(std::log2(micros / kFirstBoundMicros) * kBucketsPerDoubling);
   return std::min(static_cast<std::size_t>(index), kLatencyBuckets - 1);
 }
 
 Duration LatencyBound(std::size_t bucket) {
   const double doublings = static_cast<double>(bucket) / kBucketsPerDoubling;
-  return Duration(std::llround(kFirstBound * std::exp2(doublings)));
+  return Duration(std::llround(kFirstBoundMicros * std::exp2(doublings)));
 }
 
-Duration LatencyQuantile(const EvidenceCells& cells, double quantile) {
+Duration LatencyQuantile(const EvidenceCounters& counters, double quantile) {
   std::uint64_t total = 0;
-  for (std::uint32_t count : cells.latency)
+  for (std::uint32_t count : counters.latency)
     total += count;
   if (total == 0)
     return Duration(0);
   const double wanted = quantile * static_cast<double>(total);
   double seen = 0;
   for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
-    seen += cells.latency[i];
-    if (cells.latency[i] != 0 && seen >= wanted)
+    seen += counters.latency[i];
+    if (counters.latency[i] != 0 && seen >= wanted)
       return LatencyBound(i);
   }
   return LatencyBound(kLatencyBuckets - 1);
 }
 
-void RecordAnswer(EvidenceTable& table,
-                  const EvidenceKey& key,
-                  const AnswerSample& sample) {
-  EvidenceCells* cells = FindOrAdd(table, key);
-  if (cells == nullptr)
+void RecordResponse(EvidenceTable& table,
+                    const EvidenceKey& key,
+                    const ResponseSample& sample) {
+  EvidenceCounters* counters = FindOrAdd(table, key);
+  if (counters == nullptr)
     return;
   switch (sample.outcome) {
-    case AnswerOutcome::kCrashSuspect:
-      ++cells->crash_suspects;
+    case ResponseOutcome::kCrashSuspect:
+      ++counters->crash_suspects;
       return;
-    case AnswerOutcome::kShed:
-      ++cells->shed;
+    case ResponseOutcome::kShed:
+      ++counters->shed;
       return;
-    case AnswerOutcome::kFailed:
-    case AnswerOutcome::kTimeout:
-      ++cells->runs;
-      ++cells->failures;
+    case ResponseOutcome::kFailed:
+    case ResponseOutcome::kTimeout:
+      ++counters->runs;
+      ++counters->failures;
       return;
-    case AnswerOutcome::kGood:
-      ++cells->runs;
-      CountLatency(*cells, sample);
+    case ResponseOutcome::kSucceeded:
+      ++counters->runs;
+      CountLatency(*counters, sample);
       return;
   }
 }
 
 void RecordStart(EvidenceTable& table, EvidenceKey key) {
   key.route.clear();
-  if (EvidenceCells* cells = FindOrAdd(table, key); cells != nullptr)
-    ++cells->starts;
+  if (EvidenceCounters* counters = FindOrAdd(table, key); counters != nullptr)
+    ++counters->starts;
 }
 
 void RecordExit(EvidenceTable& table, EvidenceKey key, Duration lifetime) {
-  if (lifetime > kEarlyLife)
+  if (lifetime > kMaxEarlyExitLifetime)
     return;
   key.route.clear();
-  if (EvidenceCells* cells = FindOrAdd(table, key); cells != nullptr)
-    ++cells->early_exits;
+  if (EvidenceCounters* counters = FindOrAdd(table, key); counters != nullptr)
+    ++counters->early_exits;
 }
 
 bool MergeRow(EvidenceTable& table, const EvidenceRow& row) {
   auto found = table.rows.find(row.key);
   if (found == table.rows.end()) {
-    EvidenceCells* cells = FindOrAdd(table, row.key);
-    if (cells == nullptr)
+    EvidenceCounters* counters = FindOrAdd(table, row.key);
+    if (counters == nullptr)
       return false;
-    *cells = row.cells;
+    *counters = row.counters;
     return true;
   }
-  if (!MergeCells(found->second.cells, row.cells))
+  if (!MergeCounters(found->second.counters, row.counters))
     return false;
   found->second.revision = ++table.revision;
   return true;
@@ -181,7 +181,7 @@
 std::vector<EvidenceRow> RowsSince(const EvidenceTable& table,
                                    std::uint64_t revision,
                                    std::size_t limit,
-                                   std::uint64_t* reached) {
+                                   std::uint64_t* next_revision) {
   std::vector<std::pair<std::uint64_t, const EvidenceKey*>> changed;
   for (const auto& [key, stored] : table.rows) {
     if (stored.revision > revision)
@@ -190,20 +190,20 @@
   std::sort(changed.begin(), changed.end());
   if (changed.size() > limit)
     changed.resize(limit);
-  *reached = changed.empty() ? revision : changed.back().first;
+  *next_revision = changed.empty() ? revision : changed.back().first;
   std::vector<EvidenceRow> rows;
   rows.reserve(changed.size());
   for (const auto& [at, key] : changed)
-    rows.push_back({*key, table.rows.at(*key).cells});
+    rows.push_back({*key, table.rows.at(*key).counters});
   return rows;
 }
 
-EvidenceCells TotalOf(const EvidenceTable& table,
-                      std::string_view move,
-                      std::string_view data_center,
-                      std::string_view version,
-                      std::string_view route) {
-  EvidenceCells total;
+EvidenceCounters TotalOf(const EvidenceTable& table,
+                         std::string_view move,
+                         std::string_view data_center,
+                         std::string_view version,
+                         std::string_view route) {
+  EvidenceCounters total;
   EvidenceKey first;
   first.move = std::string(move);
   for (auto row = table.rows.lower_bound(first);
@@ -211,7 +211,7 @@
     const EvidenceKey& key = row->first;
     if (Matches(data_center, key.data_center) &&
         Matches(version, key.version) && Matches(route, key.route))
-      AddCells(total, row->second.cells);
+      AddCounters(total, row->second.counters);
   }
   return total;
 }
@@ -222,16 +222,16 @@
   });
 }
 
-void AddCells(EvidenceCells& cells, const EvidenceCells& other) {
-  cells.runs += other.runs;
-  cells.failures += other.failures;
-  cells.shed += other.shed;
-  cells.crash_suspects += other.crash_suspects;
-  cells.cold += other.cold;
-  cells.starts += other.starts;
-  cells.early_exits += other.early_exits;
+void AddCounters(EvidenceCounters& counters, const EvidenceCounters& other) {
+  counters.runs += other.runs;
+  counters.failures += other.failures;
+  counters.shed += other.shed;
+  counters.crash_suspects += other.crash_suspects;
+  counters.cold += other.cold;
+  counters.starts += other.starts;
+  counters.early_exits += other.early_exits;
   for (std::size_t i = 0; i < kLatencyBuckets; ++i)
-    cells.latency[i] += other.latency[i];
+    counters.latency[i] += other.latency[i];
 }
 
 std::string EncodeRow(const EvidenceRow& row) {
@@ -242,10 +242,11 @@
     moves::SaveText(archive, row.key.data_center);
     moves::SaveText(archive, row.key.version);
     moves::SaveText(archive, row.key.route);
-    const EvidenceCells& cells = row.cells;
-    archive(cells.runs, cells.failures, cells.shed, cells.crash_suspects,
-            cells.cold, cells.starts, cells.early_exits);
-    SaveLatency(archive, cells);
+    const EvidenceCounters& counters = row.counters;
+    archive(counters.runs, counters.failures, counters.shed,
+            counters.crash_suspects, counters.cold, counters.starts,
+            counters.early_exits);
+    SaveLatency(archive, counters);
   });
 }
 
@@ -257,10 +258,11 @@
     moves::LoadText(archive, row.key.data_center);
     moves::LoadText(archive, row.key.version);
     moves::LoadText(archive, row.key.route);
-    EvidenceCells& cells = row.cells;
-    archive(cells.runs, cells.failures, cells.shed, cells.crash_suspects,
-            cells.cold, cells.starts, cells.early_exits);
-    LoadLatency(archive, cells);
+    EvidenceCounters& counters = row.counters;
+    archive(counters.runs, counters.failures, counters.shed,
+            counters.crash_suspects, counters.cold, counters.starts,
+            counters.early_exits);
+    LoadLatency(archive, counters);
     return true;
   });
 }
--- a/src/moves/version_trial.cc
+++ b/src/moves/version_trial.cc
@@ -9,13 +9,14 @@
 namespace {
 
 constexpr std::int64_t kMicrosPerMilli = 1000;
-// A hung request counts this long at most: it says "slow", not how slow.
-constexpr std::int64_t kMostMillis = 10000;
+// Cap on the latency that one response adds to a mean: a hung request shows
+// that an upstream is slow, but not how slow.
+constexpr std::int64_t kMaxTimedMillis = 10000;
 
-constexpr std::array<std::string_view, 3> kNames = {"running", "done",
-                                                    "taken-back"};
+constexpr std::array<std::string_view, 3> kProgressNames = {"running", "done",
+                                                            "taken-back"};
 
-// Sums over all nodes.
+// Sums of counters over all nodes.
 struct Sums {
   double runs = 0;
   double bad = 0;
@@ -24,12 +25,12 @@
   double sum_ms = 0;
 };
 
-void Add(Sums& sums, const TrialCell& cell) {
-  sums.runs += cell.runs;
-  sums.bad += cell.bad;
-  sums.slow += cell.slow;
-  sums.timed += cell.timed;
-  sums.sum_ms += cell.sum_ms;
+void Add(Sums& sums, const TrialCounters& counters) {
+  sums.runs += counters.runs;
+  sums.bad += counters.bad;
+  sums.slow += counters.slow;
+  sums.timed += counters.timed;
+  sums.sum_ms += counters.total_ms;
 }
 
 void Add(Sums& sums, const Sums& more) {
@@ -41,184 +42,190 @@
 }
 
 struct RouteSums {
-  Sums old;
+  Sums old_version;
   // By upstream of the new version.
-  std::map<std::string_view, Sums> fresh;
+  std::map<std::string_view, Sums> new_by_upstream;
 };
 
-using Table = std::map<std::string_view, RouteSums>;
+using RouteTable = std::map<std::string_view, RouteSums>;
 
-void AddCell(Table& table, const TrialCell& cell) {
-  RouteSums& route = table[cell.route];
-  if (cell.fresh)
-    Add(route.fresh[cell.instance], cell);
+void AddToTable(RouteTable& table, const TrialCounters& counters) {
+  RouteSums& route = table[counters.route];
+  if (counters.of_new_version)
+    Add(route.new_by_upstream[counters.instance], counters);
   else
-    Add(route.old, cell);
+    Add(route.old_version, counters);
 }
 
-Table TableOf(const VersionTrial& trial) {
-  Table table;
+RouteTable RouteTableOf(const VersionTrial& trial) {
+  RouteTable table;
   for (const auto& [key, cell] : trial.own)
-    AddCell(table, cell);
-  for (const auto& [node, note] : trial.peers) {
-    for (const TrialCell& cell : note.cells)
-      AddCell(table, cell);
+    AddToTable(table, cell);
+  for (const auto& [node, status] : trial.peers) {
+    for (const TrialCounters& cell : status.counters)
+      AddToTable(table, cell);
   }
-  for (const TrialCell& cell : trial.earlier)
-    AddCell(table, cell);
+  for (const TrialCounters& cell : trial.earlier_counters)
+    AddToTable(table, cell);
   return table;
 }
 
-double RatioOf(double part, double whole) {
-  return whole > 0 ? part / whole : 0;
+double RatioOf(double numerator, double denominator) {
+  return denominator > 0 ? numerator / denominator : 0;
 }
 
 bool FailsMore(const TrialSettings& settings,
-               const Sums& fresh,
-               const Sums& old) {
+               const Sums& new_version,
+               const Sums& old_version) {
   const double allowed =
-      std::min(1.0, RatioOf(old.bad, old.runs) + settings.extra_bad);
-  const double expected = fresh.runs * allowed;
+      std::min(1.0, RatioOf(old_version.bad, old_version.runs) +
+                        settings.max_extra_bad_ratio);
+  const double expected = new_version.runs * allowed;
   const double deviation = std::sqrt(expected * (1 - allowed));
-  return fresh.bad >= settings.least_bad &&
-         fresh.bad > expected + settings.deviations * deviation;
+  return new_version.bad >= settings.min_bad &&
+         new_version.bad > expected + settings.min_deviations * deviation;
 }
 
 bool IsSlower(const TrialSettings& settings,
-              const Sums& fresh,
-              const Sums& old) {
-  if (fresh.timed < settings.least_timed || old.timed < settings.least_timed)
+              const Sums& new_version,
+              const Sums& old_version) {
+  if (new_version.timed < settings.min_timed ||
+      old_version.timed < settings.min_timed)
     return false;
-  const double old_mean = RatioOf(old.sum_ms, old.timed);
-  return RatioOf(fresh.sum_ms, fresh.timed) >
-         old_mean * settings.slowdown + settings.slowdown_ms;
+  const double old_mean = RatioOf(old_version.sum_ms, old_version.timed);
+  return RatioOf(new_version.sum_ms, new_version.timed) >
+         old_mean * settings.max_slowdown + settings.max_slowdown_ms;
 }
 
 bool IsSlowerTogether(const TrialSettings& settings, const RouteSums& route) {
-  Sums fresh;
-  for (const auto& [instance, sums] : route.fresh)
-    Add(fresh, sums);
-  if (fresh.timed < settings.least_timed_together ||
-      route.old.timed < settings.least_timed_together)
+  Sums new_version;
+  for (const auto& [instance, sums] : route.new_by_upstream)
+    Add(new_version, sums);
+  if (new_version.timed < settings.min_timed_together ||
+      route.old_version.timed < settings.min_timed_together)
     return false;
-  const double old_mean = RatioOf(route.old.sum_ms, route.old.timed);
-  return RatioOf(fresh.sum_ms, fresh.timed) >
-         std::max(old_mean * settings.slowdown_together,
-                  old_mean + settings.slowdown_ms);
+  const double old_mean =
+      RatioOf(route.old_version.sum_ms, route.old_version.timed);
+  return RatioOf(new_version.sum_ms, new_version.timed) >
+         std::max(old_mean * settings.max_slowdown_together,
+                  old_mean + settings.max_slowdown_ms);
 }
 
-bool IsSlowAnswer(const VersionTrial& trial, const TrialAnswer& answer) {
-  const auto mean = trial.old_means.find(answer.route);
-  if (!answer.timed || mean == trial.old_means.end())
+bool IsSlowResponse(const VersionTrial& trial, const TrialResponse& response) {
+  const auto mean = trial.old_mean_ms.find(response.route);
+  if (!response.timed || mean == trial.old_mean_ms.end())
     return false;
   const double took_ms =
-      static_cast<double>(answer.took.count()) / kMicrosPerMilli;
+      static_cast<double>(response.latency.count()) / kMicrosPerMilli;
   const TrialSettings& settings = trial.settings;
-  return took_ms > mean->second * settings.slowdown + settings.slowdown_ms;
+  return took_ms >
+         mean->second * settings.max_slowdown + settings.max_slowdown_ms;
 }
 
-void LearnOldMeans(VersionTrial& trial) {
-  for (const auto& [name, route] : TableOf(trial)) {
-    if (route.old.timed >= trial.settings.least_runs) {
-      trial.old_means[std::string(name)] =
-          RatioOf(route.old.sum_ms, route.old.timed);
+void UpdateOldMeans(VersionTrial& trial) {
+  for (const auto& [name, route] : RouteTableOf(trial)) {
+    if (route.old_version.timed >= trial.settings.min_runs) {
+      trial.old_mean_ms[std::string(name)] =
+          RatioOf(route.old_version.sum_ms, route.old_version.timed);
     }
   }
 }
 
-// Part of the order's time that has passed since `start`.
-double PartSince(const VersionTrial& trial, TimePoint start, TimePoint now) {
-  const double whole = static_cast<double>(trial.order.duration.count());
+// Time since `start` as a fraction of the order's duration.
+double FractionSince(const VersionTrial& trial,
+                     TimePoint start,
+                     TimePoint now) {
+  const double duration = static_cast<double>(trial.order.duration.count());
   const double passed = static_cast<double>((now - start).count());
-  return whole > 0 ? passed / whole : 1;
+  return duration > 0 ? passed / duration : 1;
 }
 
-double PartPassed(const VersionTrial& trial, TimePoint now) {
-  return PartSince(trial, trial.started, now);
+double FractionElapsed(const VersionTrial& trial, TimePoint now) {
+  return FractionSince(trial, trial.started_at, now);
 }
 
 TrialFinding FindingOn(const TrialSettings& settings, const RouteSums& route) {
   if (IsSlowerTogether(settings, route))
-    return TrialFinding::kBad;
-  double judged = 0;
-  double bad = 0;
-  for (const auto& [instance, sums] : route.fresh) {
-    const bool failing = FailsMore(settings, sums, route.old);
-    const bool slow = IsSlower(settings, sums, route.old);
-    if (sums.runs < settings.least_runs && !failing)
+    return TrialFinding::kFault;
+  double judged_upstreams = 0;
+  double bad_upstreams = 0;
+  for (const auto& [instance, sums] : route.new_by_upstream) {
+    const bool failing = FailsMore(settings, sums, route.old_version);
+    const bool slow = IsSlower(settings, sums, route.old_version);
+    if (sums.runs < settings.min_runs && !failing)
       continue;
-    judged += 1;
-    bad += failing || slow ? 1 : 0;
+    judged_upstreams += 1;
+    bad_upstreams += failing || slow ? 1 : 0;
   }
-  const double part = RatioOf(bad, judged);
-  if (bad == 0 || part < settings.suspect_part)
-    return TrialFinding::kCalm;
-  return part >= settings.bad_part ? TrialFinding::kBad
-                                   : TrialFinding::kSuspect;
+  const double bad_fraction = RatioOf(bad_upstreams, judged_upstreams);
+  if (bad_upstreams == 0 || bad_fraction < settings.suspect_fraction)
+    return TrialFinding::kNone;
+  return bad_fraction >= settings.fault_fraction ? TrialFinding::kFault
+                                                 : TrialFinding::kSuspect;
 }
 
 }  // namespace
 
 std::string_view NameOf(MoveProgress progress) {
-  return kNames.at(static_cast<std::size_t>(progress));
+  return kProgressNames.at(static_cast<std::size_t>(progress));
 }
 
-void RecordTrial(VersionTrial& trial, const TrialAnswer& answer) {
-  TrialCell& cell =
-      trial.own[{std::string(answer.instance), std::string(answer.route)}];
-  if (cell.runs == 0) {
-    cell.instance = std::string(answer.instance);
-    cell.route = std::string(answer.route);
-    cell.fresh = answer.fresh;
+void RecordTrialResponse(VersionTrial& trial, const TrialResponse& response) {
+  TrialCounters& counters =
+      trial.own[{std::string(response.instance), std::string(response.route)}];
+  if (counters.runs == 0) {
+    counters.instance = std::string(response.instance);
+    counters.route = std::string(response.route);
+    counters.of_new_version = response.from_new_version;
   }
-  ++cell.runs;
-  const bool slow = !answer.bad && IsSlowAnswer(trial, answer);
-  cell.bad += answer.bad || slow ? 1 : 0;
-  cell.slow += slow ? 1 : 0;
-  if (!answer.timed)
+  ++counters.runs;
+  const bool slow = !response.bad && IsSlowResponse(trial, response);
+  counters.bad += response.bad || slow ? 1 : 0;
+  counters.slow += slow ? 1 : 0;
+  if (!response.timed)
     return;
-  ++cell.timed;
-  cell.sum_ms += static_cast<std::uint32_t>(
-      std::min(answer.took.count() / kMicrosPerMilli, kMostMillis));
+  ++counters.timed;
+  counters.total_ms += static_cast<std::uint32_t>(
+      std::min(response.latency.count() / kMicrosPerMilli, kMaxTimedMillis));
 }
 
-TrialNote NoteOf(const VersionTrial& trial, TimePoint now) {
-  TrialNote note;
-  note.service = trial.order.service;
-  note.to = trial.order.to;
-  note.progress = trial.progress;
-  note.reported = trial.reported;
-  note.life = trial.life;
-  note.duration_ms = static_cast<std::uint32_t>(trial.order.duration.count() /
-                                                kMicrosPerMilli);
-  note.moved = ShareOf(trial, now) >= 1;
+TrialStatus StatusOf(const VersionTrial& trial, TimePoint now) {
+  TrialStatus status;
+  status.service = trial.order.service;
+  status.to = trial.order.to;
+  status.progress = trial.progress;
+  status.reported = trial.reported;
+  status.incarnation = trial.incarnation;
+  status.duration_ms = static_cast<std::uint32_t>(trial.order.duration.count() /
+                                                  kMicrosPerMilli);
+  status.moved = ShareOf(trial, now) >= 1;
   if (trial.progress != MoveProgress::kRunning)
-    return note;
-  note.age_ms = static_cast<std::uint32_t>((now - trial.started).count() /
-                                           kMicrosPerMilli);
+    return status;
+  status.age_ms = static_cast<std::uint32_t>((now - trial.started_at).count() /
+                                             kMicrosPerMilli);
   for (const auto& [key, cell] : trial.own)
-    note.cells.push_back(cell);
-  return note;
+    status.counters.push_back(cell);
+  return status;
 }
 
-void TakeNote(VersionTrial& trial,
-              const std::string& node,
-              const TrialNote& note,
-              TimePoint now) {
-  TrialNote& known = trial.peers[node];
-  if (known.life != note.life) {
-    trial.earlier.insert(trial.earlier.end(), known.cells.begin(),
-                         known.cells.end());
+void MergeStatus(VersionTrial& trial,
+                 const std::string& node,
+                 const TrialStatus& status,
+                 TimePoint now) {
+  TrialStatus& known = trial.peers[node];
+  if (known.incarnation != status.incarnation) {
+    trial.earlier_counters.insert(trial.earlier_counters.end(),
+                                  known.counters.begin(), known.counters.end());
   }
-  known = note;
-  trial.started =
-      std::min(trial.started, now - std::chrono::milliseconds(note.age_ms));
+  known = status;
+  trial.started_at = std::min(trial.started_at,
+                              now - std::chrono::milliseconds(status.age_ms));
   trial.reported =
-      trial.reported || (note.reported && note.progress == trial.progress);
+      trial.reported || (status.reported && status.progress == trial.progress);
   if (trial.progress == MoveProgress::kRunning &&
-      note.progress != MoveProgress::kRunning) {
-    trial.progress = note.progress;
-    trial.reported = note.reported;
+      status.progress != MoveProgress::kRunning) {
+    trial.progress = status.progress;
+    trial.reported = status.reported;
   }
 }
 
@@ -227,17 +234,19 @@
     return trial.progress == MoveProgress::kDone ? 1 : 0;
   const TrialSettings& settings = trial.settings;
   const bool ready = trial.ready_since != TimePoint{} &&
-                     now - trial.ready_since >= settings.settle;
+                     now - trial.ready_since >= settings.settling_time;
   if (!ready)
     return 0;
-  const double part = PartPassed(trial, now);
-  const double calm_part = PartSince(trial, trial.calm_since, now);
-  const double step = settings.step_after_suspicion;
-  if (part < settings.second_from || trial.finding != TrialFinding::kCalm)
+  const double elapsed = FractionElapsed(trial, now);
+  const double elapsed_since_cleared =
+      FractionSince(trial, trial.cleared_at, now);
+  const double step = settings.step_fraction_after_suspicion;
+  if (elapsed < settings.second_share_from ||
+      trial.finding != TrialFinding::kNone)
     return settings.first_share;
-  if (part < settings.third_from || calm_part < step)
+  if (elapsed < settings.third_share_from || elapsed_since_cleared < step)
     return settings.second_share;
-  if (part < settings.full_from || calm_part < 2 * step)
+  if (elapsed < settings.full_share_from || elapsed_since_cleared < 2 * step)
     return settings.third_share;
   return 1;
 }
@@ -246,36 +255,37 @@
                            std::size_t ready,
                            double share) {
   const TrialSettings& settings = trial.settings;
-  const bool evened =
+  const bool uses_all =
       share > settings.first_share && share <= settings.second_share;
-  if (evened || trial.finding != TrialFinding::kCalm)
+  if (uses_all || trial.finding != TrialFinding::kNone)
     return ready;
   const auto needed =
       static_cast<std::size_t>(std::ceil(share * static_cast<double>(ready)));
-  const std::size_t least = settings.first_upstreams;
-  return std::min(ready, std::max(needed, least));
+  const std::size_t min_upstreams = settings.first_upstreams;
+  return std::min(ready, std::max(needed, min_upstreams));
 }
 
 TrialFinding JudgeTrial(const VersionTrial& trial) {
-  TrialFinding worst = TrialFinding::kCalm;
-  Sums fresh;
-  Sums old;
-  for (const auto& [name, route] : TableOf(trial)) {
-    worst = std::max(worst, FindingOn(trial.settings, route));
-    Add(old, route.old);
-    for (const auto& [instance, sums] : route.fresh)
-      Add(fresh, sums);
+  TrialFinding strongest = TrialFinding::kNone;
+  Sums new_version;
+  Sums old_version;
+  for (const auto& [name, route] : RouteTableOf(trial)) {
+    strongest = std::max(strongest, FindingOn(trial.settings, route));
+    Add(old_version, route.old_version);
+    for (const auto& [instance, sums] : route.new_by_upstream)
+      Add(new_version, sums);
   }
   const TrialSettings& settings = trial.settings;
-  const double extra_slow =
-      RatioOf(fresh.slow, fresh.runs) - RatioOf(old.slow, old.runs);
-  const double extra_failed = RatioOf(fresh.bad - fresh.slow, fresh.runs) -
-                              RatioOf(old.bad - old.slow, old.runs);
-  const bool worse = extra_slow > settings.extra_slow_together ||
-                     extra_failed > settings.extra_failed_together;
-  if (fresh.bad >= settings.most_bad && worse)
-    return TrialFinding::kBad;
-  return worst;
+  const double extra_slow = RatioOf(new_version.slow, new_version.runs) -
+                            RatioOf(old_version.slow, old_version.runs);
+  const double extra_failed =
+      RatioOf(new_version.bad - new_version.slow, new_version.runs) -
+      RatioOf(old_version.bad - old_version.slow, old_version.runs);
+  const bool worse = extra_slow > settings.max_extra_slow_together ||
+                     extra_failed > settings.max_extra_failed_together;
+  if (new_version.bad >= settings.min_bad_together && worse)
+    return TrialFinding::kFault;
+  return strongest;
 }
 
 bool StepTrial(VersionTrial& trial, const TrialView& view, TimePoint now) {
@@ -289,18 +299,19 @@
     trial.all_moved_since = TimePoint{};
   else if (trial.all_moved_since == TimePoint{})
     trial.all_moved_since = now;
-  LearnOldMeans(trial);
+  UpdateOldMeans(trial);
   const TrialFinding finding = JudgeTrial(trial);
-  if (finding == TrialFinding::kCalm && trial.finding != TrialFinding::kCalm)
-    trial.calm_since = now;
+  if (finding == TrialFinding::kNone && trial.finding != TrialFinding::kNone)
+    trial.cleared_at = now;
   trial.finding = finding;
-  const double part = PartPassed(trial, now);
-  const bool moved = trial.all_moved_since != TimePoint{} &&
-                     now - trial.all_moved_since >= trial.settings.moved_for;
-  const bool done = part >= trial.settings.done_from && moved &&
-                    view.old_idle && finding == TrialFinding::kCalm;
-  const bool too_late = part >= trial.settings.give_up_from;
-  if (finding == TrialFinding::kBad || (too_late && !done))
+  const double elapsed = FractionElapsed(trial, now);
+  const bool moved =
+      trial.all_moved_since != TimePoint{} &&
+      now - trial.all_moved_since >= trial.settings.min_all_moved;
+  const bool done = elapsed >= trial.settings.done_from && moved &&
+                    view.old_idle && finding == TrialFinding::kNone;
+  const bool is_overdue = elapsed >= trial.settings.rollback_from;
+  if (finding == TrialFinding::kFault || (is_overdue && !done))
     trial.progress = MoveProgress::kRolledBack;
   else if (done)
     trial.progress = MoveProgress::kDone;
--- a/tests/unit/moves_faults_test.cc
+++ b/tests/unit/moves_faults_test.cc
@@ -23,22 +23,22 @@
   return account.front().state;
 }
 
-bool IsBack(const MovesState& node) {
+bool IsRolledBack(const MovesState& node) {
   const auto verdict = node.verdicts.find(std::string(kMove));
   return verdict != node.verdicts.end() &&
-         verdict->second.stage == MoveStage::kTakenBack;
+         verdict->second.stage == MoveStage::kRolledBack;
 }
 
-// A data centre is cut off during the ramp. Were the move called done without
-// it, operators would remove the old upstreams that it still uses.
-Test(moves_faults, nobody_says_done_while_a_data_center_is_unheard) {
+// A data centre is cut off during the ramp. If the move were reported as done,
+// operators would remove the old upstreams that it still uses.
+Test(moves_faults, no_node_reports_done_while_a_data_center_is_unreachable) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Trial trial(SetupOf(Class::kPlain, seed, 100));
     trial.cut_place = seed % 3;
     trial.cut_from = 20;
     trial.cut_until = 290;
     trial.trace = [&trial] {
-      // Ten seconds are the time after which silence is noticed.
+      // Silence is detected after ten seconds.
       const bool unheard = trial.time > 31 && trial.time < trial.cut_until;
       for (std::size_t place = 0; place < 3 && unheard; ++place) {
         const MovesState& node = trial.nodes.at(place);
@@ -52,9 +52,9 @@
   }
 }
 
-// The data centre that is cut off is the one whose upstreams are bad. The
-// others see nothing wrong, and would finish the move without it.
-Test(moves_faults, a_fault_seen_behind_a_cut_ends_the_move_everywhere) {
+// The data centre that is cut off is the one with the faulty upstreams. The
+// others see no fault and must not finish the move without it.
+Test(moves_faults, a_fault_in_a_cut_off_data_center_ends_the_move_everywhere) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Trial trial(SetupOf(Class::kOneDataCenter, seed, 200));
     trial.cut_place = trial.movers.front().fault_place;
@@ -64,13 +64,13 @@
     cr_assert(outcome.taken_back && !outcome.split, "seed %d",
               static_cast<int>(seed));
     for (const MovesState& node : trial.nodes)
-      cr_assert(IsBack(node));
+      cr_assert(IsRolledBack(node));
   }
 }
 
-// Every process of a data centre is replaced in the middle of a move, and has
-// nothing but what its peers and the evidence tell it.
-Test(moves_faults, a_restarted_node_goes_on_where_it_was) {
+// Every process of a data centre is restarted in the middle of a move and has
+// only the reports of its peers and the evidence to resume from.
+Test(moves_faults, a_restarted_node_resumes_where_it_was) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Trial trial(SetupOf(Class::kPlain, seed, 100));
     double before = 0;
@@ -78,11 +78,11 @@
       if (trial.time == 120) {
         MovesState& node = trial.nodes.at(1);
         before = node.moves.at(std::string(kMove)).share;
-        MovesState fresh;
-        fresh.node = node.node;
-        fresh.data_center = node.data_center;
-        fresh.reports = node.reports;
-        node = fresh;
+        MovesState restarted;
+        restarted.node = node.node;
+        restarted.data_center = node.data_center;
+        restarted.reports = node.reports;
+        node = restarted;
         trial.tables.at(1) = {};
       }
       if (trial.time == 126) {
@@ -96,8 +96,8 @@
   }
 }
 
-// A restarted node has no evidence yet, and its rows come seconds later. Taking
-// that for a service without traffic, it would give the new version half of the
+// A restarted node receives its evidence only seconds later. If it took that
+// for a service without traffic, it would give the new version half of the
 // requests at once.
 Test(moves_faults, a_restarted_node_gives_no_more_than_the_others) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -105,11 +105,11 @@
     trial.trace = [&trial] {
       MovesState& node = trial.nodes.at(1);
       if (trial.time == 20) {
-        MovesState fresh;
-        fresh.node = node.node;
-        fresh.data_center = node.data_center;
-        fresh.reports = node.reports;
-        node = fresh;
+        MovesState restarted;
+        restarted.node = node.node;
+        restarted.data_center = node.data_center;
+        restarted.reports = node.reports;
+        node = restarted;
       }
       if (trial.time >= 20 && trial.time < 26) {
         trial.tables.at(1) = {};
@@ -124,9 +124,9 @@
   }
 }
 
-// The judge's memory goes with a restart. A bad version must still be found,
-// and the verdict must not differ between data centres.
-Test(moves_faults, restarts_do_not_save_a_bad_version) {
+// A restart loses the judge's state. A bad version must still be detected, and
+// the verdict must not differ between data centres.
+Test(moves_faults, restarts_do_not_hide_a_bad_version) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Trial trial(SetupOf(Class::kFailsLater, seed, 200));
     trial.trace = [&trial] {
@@ -134,12 +134,12 @@
       if (trial.time != static_cast<double>(tick) || tick % 40 != 30)
         return;
       const std::size_t place = tick / 40 % 3;
-      MovesState fresh;
-      fresh.node = trial.nodes.at(place).node;
-      fresh.data_center = trial.nodes.at(place).data_center;
-      // A peer that is there already tells the verdicts.
-      fresh.verdicts = trial.nodes.at((place + 1) % 3).verdicts;
-      trial.nodes.at(place) = fresh;
+      MovesState restarted;
+      restarted.node = trial.nodes.at(place).node;
+      restarted.data_center = trial.nodes.at(place).data_center;
+      // The verdicts come from a running peer.
+      restarted.verdicts = trial.nodes.at((place + 1) % 3).verdicts;
+      trial.nodes.at(place) = restarted;
       trial.tables.at(place) = {};
     };
     const Outcome outcome = trial.Run();
@@ -148,13 +148,13 @@
   }
 }
 
-// The log is down when the verdict falls. The verdict has to spread without
-// it, and to be in it as soon as it can be reached, or a herd of restarts would
-// start the move again.
+// The log is down at the time of the verdict. The verdict has to spread without
+// it and be appended as soon as the log is reachable, or a restart of all nodes
+// would start the move again.
 Test(moves_faults, a_verdict_reaches_the_log_after_its_outage) {
   Trial trial(SetupOf(Class::kFailsAtOnce, 4, 100));
   trial.log_down_until = 60;
-  // The trial ends soon after the verdict; go on by hand.
+  // The trial ends soon after the verdict; the test continues the steps itself.
   const Outcome outcome = trial.Run();
   cr_assert(outcome.taken_back && !outcome.split && trial.log.empty());
   MovesState& node = trial.nodes.front();
@@ -168,17 +168,18 @@
         continue;
       ++appends;
       if (second >= 30)
-        NoteLogged(node, action.verdict, now);
+        OnLoggedVerdict(node, action.verdict, now);
     }
   }
-  // Every five seconds until the log took it.
+  // Every five seconds until the log accepted it.
   cr_assert(appends >= 5 && appends <= 8, "%d appends", appends);
-  // A herd returns and reads the log.
-  MovesState fresh;
-  fresh.data_center = node.data_center;
-  NoteLogged(fresh, node.verdicts.begin()->second, trial.Now());
-  cr_assert(StepMoves(fresh, trial.snapshot, {}, {}, trial.Now()).size() <= 3);
-  cr_assert(ShareOf(fresh, trial.snapshot, "ledger-desk", "v2") == 0);
+  // Restarted nodes read the log.
+  MovesState restarted;
+  restarted.data_center = node.data_center;
+  OnLoggedVerdict(restarted, node.verdicts.begin()->second, trial.Now());
+  cr_assert(StepMoves(restarted, trial.snapshot, {}, {}, trial.Now()).size() <=
+            3);
+  cr_assert(ShareOf(restarted, trial.snapshot, "ledger-desk", "v2") == 0);
 }
 
 }  // namespace
--- a/tests/unit/version_trial_test.cc
+++ b/tests/unit/version_trial_test.cc
@@ -18,84 +18,85 @@
 
 struct Outcome {
   bool bad = false;
-  Duration took = Ms(100);
+  Duration latency = Ms(100);
 };
 
-// How an upstream of the new version answers: which one, on which route, how
-// long after the order, and how loaded it is from 0 to 1.
-struct Question {
+// A request at an upstream: which upstream, on which route, how long after the
+// order, and the upstream's load from 0 to 1.
+struct SimulatedRequest {
   int upstream = 0;
   int route = 0;
-  Duration since{};
+  Duration since_order{};
   double load = 0;
 };
-using Behaviour = std::function<Outcome(const Question&, Rng&)>;
+using ResponseModel = std::function<Outcome(const SimulatedRequest&, Rng&)>;
 
-Outcome SameAsEver(const Question& /*asked*/, Rng& /*rng*/) {
+Outcome RespondNormally(const SimulatedRequest& /*asked*/, Rng& /*rng*/) {
   return {};
 }
 
-struct Run {
+struct Simulation {
   MoveProgress progress = MoveProgress::kRunning;
-  Duration ended{};
+  Duration ended_after{};
   // Requests that the new version got, and those of the service.
-  int exposed = 0;
-  int total = 0;
+  int new_version_requests = 0;
+  int total_requests = 0;
 };
 
-// One service of nine upstreams in each version at `rate` requests a second, as
-// one node sees it. Answers are counted when they come; each tenth of a second
-// the trial is judged. Seeded, on a virtual clock.
-Run Play(const Behaviour& fresh,
-         Duration duration,
-         std::uint64_t seed,
-         const Behaviour& old = SameAsEver) {
+// Simulates one service with nine upstreams of each version at kRate requests
+// per second, as one node sees it. Responses are counted on arrival, and the
+// trial is judged ten times a second. Seeded, on a virtual clock.
+Simulation Simulate(const ResponseModel& new_version,
+                    Duration duration,
+                    std::uint64_t seed,
+                    const ResponseModel& old_version = RespondNormally) {
   constexpr int kUpstreams = 9;
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", duration};
-  trial.started = kStart;
+  trial.started_at = kStart;
   Rng rng(seed);
-  std::multimap<TimePoint, TrialAnswer> due;
+  std::multimap<TimePoint, TrialResponse> in_flight;
   std::vector<std::string> names;
   names.reserve(std::size_t{2} * kUpstreams);
   for (int i = 0; i < 2 * kUpstreams; ++i)
     names.push_back("i-" + std::to_string(i));
-  Run run;
+  Simulation run;
   const auto per_tick = static_cast<int>(kRate / 100);
   for (Ms passed{0}; passed < duration; passed += Ms(10)) {
     const TimePoint now = kStart + passed;
-    while (!due.empty() && due.begin()->first <= now) {
-      RecordTrial(trial, due.begin()->second);
-      due.erase(due.begin());
+    while (!in_flight.empty() && in_flight.begin()->first <= now) {
+      RecordTrialResponse(trial, in_flight.begin()->second);
+      in_flight.erase(in_flight.begin());
     }
     const bool ended = trial.progress != MoveProgress::kRunning;
     if (!ended && passed % Ms(100) == Ms(0)) {
       const bool moved = ShareOf(trial, now) >= 1;
       if (StepTrial(trial, {true, moved, moved}, now))
-        run.ended = passed;
+        run.ended_after = passed;
     }
     const double share = ShareOf(trial, now);
     const std::size_t in_use = UpstreamsInUse(trial, kUpstreams, share);
     for (int i = 0; i < per_tick; ++i) {
-      ++run.total;
+      ++run.total_requests;
       const bool to_new = std::uniform_real_distribution<>(0, 1)(rng) < share;
-      run.exposed += to_new ? 1 : 0;
+      run.new_version_requests += to_new ? 1 : 0;
       const int route = rng() % 4 == 0 ? 1 : 0;
-      TrialAnswer answer;
-      answer.fresh = to_new;
-      answer.timed = true;
-      answer.route = route == 0 ? "read" : "write";
+      TrialResponse response;
+      response.from_new_version = to_new;
+      response.timed = true;
+      response.route = route == 0 ? "read" : "write";
       Outcome outcome;
       const auto upstream = static_cast<int>(
           rng() % (to_new ? in_use : static_cast<std::size_t>(kUpstreams)));
       const double load = share * kUpstreams / static_cast<double>(in_use);
-      outcome = (to_new ? fresh : old)({upstream, route, passed, load}, rng);
-      const std::size_t place =
+      outcome = (to_new ? new_version : old_version)(
+          {upstream, route, passed, load}, rng);
+      const std::size_t name_index =
           static_cast<std::size_t>(upstream) + (to_new ? kUpstreams : 0U);
-      answer.instance = names[place];
-      answer.bad = outcome.bad;
-      answer.took = outcome.took;
-      due.emplace(now + outcome.took, answer);
+      response.instance = names[name_index];
+      response.bad = outcome.bad;
+      response.latency = outcome.latency;
+      in_flight.emplace(now + outcome.latency, response);
     }
   }
   run.progress = trial.progress;
@@ -106,57 +107,60 @@
   return std::uniform_real_distribution<>(0, 1)(rng) < share;
 }
 
-// A tenth of the requests between the order and its end, and fifty.
-void CheckTakenBack(const Run& run, std::uint64_t seed) {
+// A bad version may get a tenth of the requests during the order's duration
+// plus 50.
+void ExpectRolledBack(const Simulation& run, std::uint64_t seed) {
   cr_assert(run.progress == MoveProgress::kRolledBack, "seed %d",
             static_cast<int>(seed));
-  cr_assert(run.exposed <= run.total / 10 + 50, "seed %d: %d of %d",
-            static_cast<int>(seed), run.exposed, run.total);
+  cr_assert(run.new_version_requests <= run.total_requests / 10 + 50,
+            "seed %d: %d of %d", static_cast<int>(seed),
+            run.new_version_requests, run.total_requests);
 }
 
 Test(version_trial, a_good_version_is_done_in_time) {
   for (const Duration duration : {Ms(12000), Ms(16000)}) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-      const Run run =
-          Play([](const Question&, Rng&) { return Outcome{}; }, duration, seed);
+      const Simulation run =
+          Simulate([](const SimulatedRequest&, Rng&) { return Outcome{}; },
+                   duration, seed);
       cr_assert(run.progress == MoveProgress::kDone);
-      cr_assert(run.ended < duration * 9 / 10);
+      cr_assert(run.ended_after < duration * 9 / 10);
     }
   }
 }
 
-// The new version fails half of its requests from the start. Callers see some
-// failures, and nothing of it a few seconds after the order.
-Test(version_trial, failures_take_it_back) {
+// The new version fails half of its requests from the start, and must be rolled
+// back within a few seconds of the order.
+Test(version_trial, failures_roll_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    const Run run = Play(
-        [](const Question&, Rng& rng) { return Outcome{Chance(0.5, rng)}; },
-        Ms(16000), seed);
-    CheckTakenBack(run, seed);
-    cr_assert(run.ended < Ms(4000));
+    const Simulation run =
+        Simulate([](const SimulatedRequest&,
+                    Rng& rng) { return Outcome{Chance(0.5, rng)}; },
+                 Ms(16000), seed);
+    ExpectRolledBack(run, seed);
+    cr_assert(run.ended_after < Ms(4000));
   }
 }
 
-// It answers eight times slower; those answers come late, and so does the
-// evidence.
-Test(version_trial, slowness_takes_it_back) {
+// The new version is eight times slower; the late responses delay the evidence.
+Test(version_trial, slowness_rolls_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(Play(
-                       [](const Question&, Rng&) {
-                         return Outcome{false, Ms(800)};
-                       },
-                       Ms(12000), seed),
-                   seed);
+    ExpectRolledBack(Simulate(
+                         [](const SimulatedRequest&, Rng&) {
+                           return Outcome{false, Ms(800)};
+                         },
+                         Ms(12000), seed),
+                     seed);
   }
 }
 
-// Half of its answers take four times as long. Their mean is no more than a
-// busy upstream may have; but the old version has hardly any such answer.
-Test(version_trial, slowness_of_some_answers_takes_it_back) {
+// 40% of its responses take four times as long. The mean stays within that of a
+// busy upstream, but the old version has hardly any such response.
+Test(version_trial, slowness_of_some_responses_rolls_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(
-        Play(
-            [](const Question&, Rng& rng) {
+    ExpectRolledBack(
+        Simulate(
+            [](const SimulatedRequest&, Rng& rng) {
               return Outcome{false, Chance(0.4, rng) ? Ms(400) : Ms(100)};
             },
             Ms(16000), seed),
@@ -164,62 +168,61 @@
   }
 }
 
-// Only one route fails, which has a quarter of the requests.
-Test(version_trial, failures_of_one_route_take_it_back) {
+// Only one route fails, which gets a quarter of the requests.
+Test(version_trial, failures_of_one_route_roll_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(Play(
-                       [](const Question& asked, Rng& rng) {
-                         return Outcome{asked.route == 1 && Chance(0.5, rng)};
-                       },
-                       Ms(16000), seed),
-                   seed);
+    ExpectRolledBack(Simulate(
+                         [](const SimulatedRequest& asked, Rng& rng) {
+                           return Outcome{asked.route == 1 && Chance(0.5, rng)};
+                         },
+                         Ms(16000), seed),
+                     seed);
   }
 }
 
-// It is well for three seconds and fails after that.
-Test(version_trial, a_late_fault_takes_it_back) {
+// The new version works for three seconds and fails after that.
+Test(version_trial, a_late_fault_rolls_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(
-        Play(
-            [](const Question& asked, Rng& rng) {
-              return Outcome{asked.since > Ms(3000) && Chance(0.5, rng)};
+    ExpectRolledBack(
+        Simulate(
+            [](const SimulatedRequest& asked, Rng& rng) {
+              return Outcome{asked.since_order > Ms(3000) && Chance(0.5, rng)};
             },
             Ms(12000), seed),
         seed);
   }
 }
 
-// It fails only when it is loaded as it will be with all requests. The first
-// requests go to two upstreams only, so that this shows before all have moved.
-Test(version_trial, a_fault_under_load_takes_it_back) {
+// The new version fails only under the load of all requests. The first requests
+// go to two upstreams, so that this shows before all requests have moved.
+Test(version_trial, a_fault_under_load_rolls_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(Play(
-                       [](const Question& asked, Rng& rng) {
-                         return Outcome{asked.load > 0.7 && Chance(0.5, rng)};
-                       },
-                       Ms(16000), seed),
-                   seed);
+    ExpectRolledBack(Simulate(
+                         [](const SimulatedRequest& asked, Rng& rng) {
+                           return Outcome{asked.load > 0.7 && Chance(0.5, rng)};
+                         },
+                         Ms(16000), seed),
+                     seed);
   }
 }
 
-// One upstream of the new version runs on a slow VM. That says nothing of the
-// version, and a move that is taken back for it would have to be ordered again.
-Test(version_trial, one_slow_upstream_does_not_take_it_back) {
+// One upstream of the new version runs on a slow VM, which is no fault of the
+// version: a move rolled back for it would have to be ordered again.
+Test(version_trial, one_slow_upstream_does_not_roll_it_back) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    const Run run = Play(
-        [](const Question& asked, Rng&) {
+    const Simulation run = Simulate(
+        [](const SimulatedRequest& asked, Rng&) {
           return Outcome{false, asked.upstream == 4 ? Ms(700) : Ms(100)};
         },
         Ms(16000), seed);
     cr_assert(run.progress != MoveProgress::kRunning);
     cr_assert(run.progress == MoveProgress::kDone ||
-              run.exposed <= run.total / 10 + 50);
+              run.new_version_requests <= run.total_requests / 10 + 50);
   }
 }
 
-// Upstreams on VMs of different speeds, whose times vary as real work does: of
-// the new version's upstreams those numbered as `slow` says are slow, of the
-// old one's every third.
+// Response of an upstream on a slow or a fast VM, with log-normal latency as of
+// real work. Of the old version's upstreams every third VM is slow.
 Outcome Varied(bool slow, Rng& rng) {
   constexpr double kMeanMs = 100;
   constexpr double kSpread = 0.8;
@@ -229,20 +232,21 @@
   return {false, Duration(static_cast<std::int64_t>(work(rng) * 1000))};
 }
 
-Outcome VariedOld(const Question& asked, Rng& rng) {
+Outcome VariedOld(const SimulatedRequest& asked, Rng& rng) {
   return Varied(asked.upstream % 3 == 2, rng);
 }
 
-// Every third VM is slow, and the first upstream that a good version's requests
-// meet runs on one. Its answers take twice as long as the old version's in the
-// mean, and some of them several times as long. The move has to be done all the
-// same: taken back, it would have to be ordered again, with the same upstreams.
+// Every third VM is slow, possibly that of the first upstream that a good
+// version's requests reach. Its mean latency is twice the old version's, and
+// some responses take several times as long. The move has to be done
+// nevertheless: if rolled back, it would be ordered again with the same
+// upstreams.
 Test(version_trial, slow_vms_do_not_hold_a_good_version) {
   int done = 0;
   for (int first = 0; first < 3; ++first) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-      const Run run = Play(
-          [first](const Question& asked, Rng& rng) {
+      const Simulation run = Simulate(
+          [first](const SimulatedRequest& asked, Rng& rng) {
             return Varied(asked.upstream % 3 == first, rng);
           },
           Ms(14000), seed, VariedOld);
@@ -252,96 +256,98 @@
   cr_assert(done >= 58, "%d of 60", done);
 }
 
-// The same VMs, and a version that answers half of its requests eight times
-// slower, or five times. (Four times cannot be told from slow VMs in each case
-// before the version has had its tenth.)
+// On the same VMs, a version responds to half of its requests eight or five
+// times slower. (A factor of four cannot always be told from slow VMs before
+// the version has got its tenth of the requests.)
 Test(version_trial, slowness_shows_on_vms_of_different_speeds) {
   for (const int factor : {8, 5}) {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-      CheckTakenBack(Play(
-                         [factor](const Question& asked, Rng& rng) {
-                           Outcome outcome = VariedOld(asked, rng);
-                           if (Chance(0.5, rng))
-                             outcome.took *= factor;
-                           return outcome;
-                         },
-                         Ms(16000), seed, VariedOld),
-                     seed);
+      ExpectRolledBack(Simulate(
+                           [factor](const SimulatedRequest& asked, Rng& rng) {
+                             Outcome outcome = VariedOld(asked, rng);
+                             if (Chance(0.5, rng))
+                               outcome.latency *= factor;
+                             return outcome;
+                           },
+                           Ms(16000), seed, VariedOld),
+                       seed);
     }
   }
 }
 
-// The same VMs, and a version that fails half of the requests of one route.
+// On the same VMs, a version fails half of the requests of one route.
 Test(version_trial, failures_show_on_vms_of_different_speeds) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    CheckTakenBack(Play(
-                       [](const Question& asked, Rng& rng) {
-                         Outcome outcome = VariedOld(asked, rng);
-                         outcome.bad = asked.route == 1 && Chance(0.5, rng);
-                         return outcome;
-                       },
-                       Ms(16000), seed, VariedOld),
-                   seed);
+    ExpectRolledBack(Simulate(
+                         [](const SimulatedRequest& asked, Rng& rng) {
+                           Outcome outcome = VariedOld(asked, rng);
+                           outcome.bad = asked.route == 1 && Chance(0.5, rng);
+                           return outcome;
+                         },
+                         Ms(16000), seed, VariedOld),
+                     seed);
   }
 }
 
-// A node that was restarted knows nothing of the fault that others have seen.
-Test(version_trial, a_verdict_of_another_node_is_taken_over) {
+// A restarted node has not seen the fault and must adopt the others' verdict.
+Test(version_trial, a_verdict_of_another_node_is_adopted) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(16000)};
-  trial.started = kStart;
-  TrialNote note;
-  note.service = "registry-desk";
-  note.to = "v2";
-  note.progress = MoveProgress::kRolledBack;
-  TakeNote(trial, "bole-2", note, kStart);
+  trial.started_at = kStart;
+  TrialStatus status;
+  status.service = "registry-desk";
+  status.to = "v2";
+  status.progress = MoveProgress::kRolledBack;
+  MergeStatus(trial, "bole-2", status, kStart);
   cr_assert(trial.progress == MoveProgress::kRolledBack);
   cr_assert(ShareOf(trial, kStart) == 0);
-  note.progress = MoveProgress::kDone;
-  TakeNote(trial, "bole-3", note, kStart);
+  status.progress = MoveProgress::kDone;
+  MergeStatus(trial, "bole-3", status, kStart);
   cr_assert(trial.progress == MoveProgress::kRolledBack);
 }
 
-// All nodes are restarted in turn while a move runs, and each forgets what it
-// saw. The others keep what it told, or a bad version would never be found out.
-Test(version_trial, what_a_node_told_outlives_its_restart) {
+// All nodes are restarted in turn while a move runs, and each loses its
+// counters. The others must keep what it reported, or a bad version would not
+// be detected.
+Test(version_trial, reported_counters_survive_a_restart) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(16000)};
-  trial.started = kStart;
-  for (std::uint64_t life = 1; life <= 6; ++life) {
-    TrialNote note;
-    note.service = "registry-desk";
-    note.to = "v2";
-    note.life = life;
-    note.cells.push_back({"i-1", "read", true, 10, 5, 0, 0, 0});
-    TakeNote(trial, "bole-2", note, kStart);
+  trial.started_at = kStart;
+  for (std::uint64_t incarnation = 1; incarnation <= 6; ++incarnation) {
+    TrialStatus status;
+    status.service = "registry-desk";
+    status.to = "v2";
+    status.incarnation = incarnation;
+    status.counters.push_back({"i-1", "read", true, 10, 5, 0, 0, 0});
+    MergeStatus(trial, "bole-2", status, kStart);
   }
-  cr_assert(JudgeTrial(trial) == TrialFinding::kBad);
-  trial.earlier.clear();
-  trial.settings.least_bad = 100;
-  cr_assert(JudgeTrial(trial) == TrialFinding::kCalm);
+  cr_assert(JudgeTrial(trial) == TrialFinding::kFault);
+  trial.earlier_counters.clear();
+  trial.settings.min_bad = 100;
+  cr_assert(JudgeTrial(trial) == TrialFinding::kNone);
 }
 
-// A node starts in the middle of a move. Counted from its own start the move
-// would miss its time, because it is done only when all nodes have moved.
+// A node starts in the middle of a move. Counted from the node's own start the
+// move would miss its deadline, as it is done only when all nodes have moved.
 Test(version_trial, a_late_node_joins_at_the_stage_of_the_others) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(10000)};
-  trial.started = kStart;
+  trial.started_at = kStart;
   (void)StepTrial(trial, {true, false, false}, kStart);
-  TrialNote note;
-  note.service = "registry-desk";
-  note.to = "v2";
-  note.age_ms = 6000;
-  TakeNote(trial, "bole-2", note, kStart + Ms(500));
+  TrialStatus status;
+  status.service = "registry-desk";
+  status.to = "v2";
+  status.age_ms = 6000;
+  MergeStatus(trial, "bole-2", status, kStart + Ms(500));
   cr_assert(ShareOf(trial, kStart + Ms(500)) == 1);
 }
 
-// Old upstreams are stopped at once when a move is done, with what runs there.
+// Old upstreams are stopped as soon as a move is done, which would abort the
+// requests that run there.
 Test(version_trial, not_done_while_old_upstreams_work) {
   VersionTrial trial;
   trial.order = {"registry-desk", "v2", Ms(10000)};
-  trial.started = kStart;
+  trial.started_at = kStart;
   for (Ms passed{0}; passed < Ms(9000); passed += Ms(100))
     cr_assert_not(StepTrial(trial, {true, false, true}, kStart + passed));
 }
