--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -135,7 +135,7 @@
   const auto asked = DeadlineIn(FindHeader(headers, this->names.deadline));
   if (asked)
     allowed = std::min(allowed, *asked);
-  pending.deadline = pending.exchange->arrived + allowed;
+  pending.deadline = pending.exchange->received_at + allowed;
   if (!asked || pending.nested)
     return;
   DeadlineHistory& history = this->deadlines[route.name];
@@ -146,7 +146,7 @@
 std::optional<TimePoint> Entry::AimOf(const Pending& pending) {
   if (pending.route->aim <= Duration{0})
     return std::nullopt;
-  return pending.exchange->arrived + pending.route->aim - pending.spent;
+  return pending.exchange->received_at + pending.route->aim - pending.spent;
 }
 
 bool Entry::ShedForDependency(std::uint64_t id, Pending& pending) {
--- a/src/edge/entry_answers.cc
+++ b/src/edge/entry_answers.cc
@@ -52,7 +52,7 @@
       this->answer_bytes.try_emplace(pending.route->name, bytes).first->second;
   mean += kNewestAnswer * (bytes - mean);
   RecordLatency(this->latency_by_route[pending.route->name],
-                SteadyNow() - pending.exchange->arrived);
+                SteadyNow() - pending.exchange->received_at);
   RemoveHopHeaders(response.headers);
   this->NoteDemand(pending, false);
   this->LogDecision(pending, "answered", ErrorKind::kInternal, response.status);
@@ -147,11 +147,11 @@
                         ErrorKind kind,
                         int status) {
   const TimePoint now = SteadyNow();
-  const Duration age = now - pending.exchange->arrived;
+  const Duration age = now - pending.exchange->received_at;
   const Peer* peer = this->links.Find(pending.node);
   const GateStatus seen = peer == nullptr ? this->gate.Status() : peer->status;
   const Duration seen_age =
-      peer == nullptr ? Duration{0} : now - peer->status_at;
+      peer == nullptr ? Duration{0} : now - peer->status_received_at;
   Log(LogLevel::kInfo, "requests", outcome,
       {{"id", FindHeader(pending.exchange->request.headers, kHeaderRequestId)},
        {"reason", kind == ErrorKind::kInternal ? "" : NameOf(kind)},
--- a/src/edge/frames.cc
+++ b/src/edge/frames.cc
@@ -31,7 +31,7 @@
 template <class C>
 void Fields(C& codec, FieldsOf<C, SuspectNote> value) {
   codec(value.fingerprint, value.origin, value.crashes, value.cleared,
-        value.left_minutes);
+        value.remaining_minutes);
 }
 template <class C>
 void Fields(C& codec, FieldsOf<C, ShortageNote> value) {
--- a/src/edge/frames.h
+++ b/src/edge/frames.h
@@ -26,7 +26,7 @@
   std::uint64_t origin = 0;
   std::uint32_t crashes = 0;
   std::uint32_t cleared = 0;
-  std::uint32_t left_minutes = 0;
+  std::uint32_t remaining_minutes = 0;
 
   bool operator==(const SuspectNote&) const = default;
 };
@@ -54,7 +54,7 @@
   // The node's last call to the store failed, or the node is about to stop: it
   // does not count as a reader of the operators' stream.
   bool store_unavailable = false;
-  // What this node knows of moves.
+  // This node's notes of moves.
   std::vector<TrialNote> moves;
   std::vector<SuspectNote> suspects;
   // Services that refused requests of this node for lack of capacity, and the
@@ -176,7 +176,7 @@
 };
 
 // Sent instead of a ConfigFrame: the receiver should request the configuration
-// from another node, or retry later.
+// from another node, or later from this one.
 struct ConfigBusy {};
 
 using LinkFrame = std::variant<Hello,
--- a/src/edge/gate.cc
+++ b/src/edge/gate.cc
@@ -437,7 +437,7 @@
   rows.reserve(notes.size());
   for (const SuspectNote& note : notes) {
     rows.push_back({note.fingerprint, note.origin, note.crashes, note.cleared,
-                    now + std::chrono::minutes(note.left_minutes)});
+                    now + std::chrono::minutes(note.remaining_minutes)});
   }
   (void)MergeSuspects(this->suspects, rows, now);
 }
--- a/src/edge/http_listener.cc
+++ b/src/edge/http_listener.cc
@@ -115,7 +115,7 @@
   std::deque<ExchangePtr> pending;
   std::string output;
   TimePoint last_active;
-  TimePoint request_began;
+  TimePoint request_started_at;
   bool in_request = false;
   bool reading = false;
   bool writing = false;
@@ -173,7 +173,7 @@
          !this->closed && this->pending.size() < kMaxPipelined) {
     if (!this->in_request) {
       this->in_request = true;
-      this->request_began = SteadyNow();
+      this->request_started_at = SteadyNow();
     }
     boost::system::error_code error;
     const std::size_t used = this->parser->put(this->buffer.data(), error);
@@ -204,7 +204,7 @@
   auto& message = this->parser->get();
   ExchangePtr exchange(new Exchange);
   exchange->session = this;
-  exchange->arrived = this->request_began;
+  exchange->received_at = this->request_started_at;
   exchange->request.method = std::string(message.method_string());
   exchange->request.target = std::string(message.target());
   exchange->request.headers = HeadersOf(message);
@@ -311,12 +311,12 @@
 void HttpSession::OnCallerDisconnected() {
   if (this->closed)
     return;
-  const auto left = std::move(this->pending);
+  const auto abandoned = std::move(this->pending);
   this->pending.clear();
-  if (this->listener != nullptr && !left.empty())
+  if (this->listener != nullptr && !abandoned.empty())
     this->listener->counters.Add(ListenerEvent::kCallerDisconnected);
   const Self keep(this);
-  for (const ExchangePtr& exchange : left) {
+  for (const ExchangePtr& exchange : abandoned) {
     exchange->session = nullptr;
     if (exchange->responded)
       continue;
@@ -350,8 +350,10 @@
       this->Close();
     return;
   }
-  const bool head_open = this->in_request && !this->parser->is_header_done();
-  if (head_open && now - this->request_began > limits.header_timeout) {
+  const bool headers_incomplete =
+      this->in_request && !this->parser->is_header_done();
+  if (headers_incomplete &&
+      now - this->request_started_at > limits.header_timeout) {
     this->listener->counters.Add(ListenerEvent::kHeaderTimeout);
     this->Close();
     return;
@@ -383,9 +385,9 @@
     : acceptor(io), sweep(io), on_request(std::move(handler)) {}
 
 HttpListener::~HttpListener() {
-  const std::set<HttpSession*> open = std::move(this->sessions);
+  const std::set<HttpSession*> open_sessions = std::move(this->sessions);
   this->sessions.clear();
-  for (HttpSession* session : open) {
+  for (HttpSession* session : open_sessions) {
     session->DetachListener();
     session->Close();
     intrusive_ptr_release(session);
--- a/src/edge/http_listener.h
+++ b/src/edge/http_listener.h
@@ -31,7 +31,7 @@
     : boost::intrusive_ref_counter<Exchange, boost::thread_unsafe_counter> {
   HttpRequest request;
   // When the first bytes of the request were read.
-  TimePoint arrived;
+  TimePoint received_at;
   // Called at most once, if the caller disconnects before the response is sent.
   std::function<void()> on_caller_disconnected;
   bool responded = false;
--- a/src/edge/http_text.cc
+++ b/src/edge/http_text.cc
@@ -5,7 +5,7 @@
 namespace teaselspread {
 namespace {
 
-// Room for a status line, the framing headers and line ends.
+// Space for a status line, the framing headers and line ends.
 constexpr std::size_t kFramingBytes = 128;
 constexpr std::size_t kHeaderOverheadBytes = 4;
 
--- a/src/edge/links.cc
+++ b/src/edge/links.cc
@@ -39,7 +39,7 @@
     kNames = {"opened", "accepted",        "connect-failed", "lost",
               "silent", "frames-received", "bytes-sent",     "bytes-received"};
 
-bool DiffersInUpstream(const GateStatus& a, const GateStatus& b) {
+bool UpstreamChanged(const GateStatus& a, const GateStatus& b) {
   return a.state != b.state || a.instance != b.instance ||
          a.service != b.service || a.version != b.version || a.slots != b.slots;
 }
@@ -57,7 +57,7 @@
 void ApplyLoad(Peer& peer, const LoadFrame& load) {
   SetLoad(peer.status, load);
   peer.sent_since_status = 0;
-  peer.status_at = SteadyNow();
+  peer.status_received_at = SteadyNow();
 }
 
 template <class Handler>
@@ -172,9 +172,9 @@
     peer.line_mbit = node.line_mbit;
   peer.backoff.base = kMinRetryDelay;
   peer.backoff.cap = kMaxRetryDelay;
-  const bool moved = !added && peer.link != node.link;
+  const bool address_changed = !added && peer.link != node.link;
   peer.link = node.link;
-  if (moved && peer.socket != nullptr) {
+  if (address_changed && peer.socket != nullptr) {
     const SocketPtr old(peer.socket);
     old->Close();
     this->OnClosed(old.get(), LinkEndReason::kAddressChanged);
@@ -299,11 +299,11 @@
     const GateStatus before = peer->status;
     ApplyStatus(peer->status, std::move(*status_frame));
     const bool changed =
-        !peer->connected || DiffersInUpstream(before, peer->status);
+        !peer->connected || UpstreamChanged(before, peer->status);
     peer->connected = true;
     Reset(peer->backoff);
     peer->sent_since_status = has_load ? 0 : peer->sent_since_status;
-    peer->status_at = SteadyNow();
+    peer->status_received_at = SteadyNow();
     this->handlers.on_status(name, changed);
   } else if (auto* result = std::get_if<ResultFrame>(&frame)) {
     if (peer->in_flight > 0)
@@ -333,8 +333,9 @@
     from->node = hello->node;
     from->in_other_data_center = hello->data_center != this->self.data_center;
     this->handlers.on_hello(*hello);
-  } else if (const auto* ask = std::get_if<ConfigRequest>(&frame)) {
-    from->Send(this->handlers.on_config_request(from->node, ask->digest));
+  } else if (const auto* config_request = std::get_if<ConfigRequest>(&frame)) {
+    from->Send(
+        this->handlers.on_config_request(from->node, config_request->digest));
   }
 }
 
@@ -342,14 +343,15 @@
   return peer.socket == nullptr || IsUnresponsive(peer.socket->times, now);
 }
 
-void Links::SetStatus(const GateStatus& now) {
-  if (now == this->status)
+void Links::SetStatus(const GateStatus& new_status) {
+  if (new_status == this->status)
     return;
-  const bool urgent = DiffersInUpstream(now, this->status) ||
-                      now.held_version != this->status.held_version ||
-                      now.store_unavailable != this->status.store_unavailable ||
-                      now.suspects != this->status.suspects;
-  this->status = now;
+  const bool urgent =
+      UpstreamChanged(new_status, this->status) ||
+      new_status.held_version != this->status.held_version ||
+      new_status.store_unavailable != this->status.store_unavailable ||
+      new_status.suspects != this->status.suspects;
+  this->status = new_status;
   this->status_changed = true;
   if (!urgent)
     return;
@@ -408,9 +410,9 @@
   peer->socket->Send(ConfigRequest{digest});
   peer->config_request_sequence = peer->next_ping_sequence++;
   peer->socket->Send(PingFrame{peer->config_request_sequence});
-  if (TimePoint& asked = peer->socket->times.response_due_since;
-      asked == TimePoint{})
-    asked = SteadyNow();
+  if (TimePoint& due_since = peer->socket->times.response_due_since;
+      due_since == TimePoint{})
+    due_since = SteadyNow();
 }
 
 void Links::SendResult(FrameSocket* to, const ResultFrame& result) {
@@ -420,22 +422,22 @@
 
 void Links::CheckTimeouts() {
   const TimePoint now = SteadyNow();
-  std::vector<SocketPtr> silent;
+  std::vector<SocketPtr> timed_out;
   for (auto& [name, peer] : this->peers) {
     if (peer.socket == nullptr)
       continue;
     const LinkAction action =
         CheckOpened(peer.socket->times, peer.connected, now);
     if (action == LinkAction::kClose)
-      silent.emplace_back(peer.socket);
+      timed_out.emplace_back(peer.socket);
     else if (action == LinkAction::kPing)
       this->SendPing(peer);
   }
   for (FrameSocket* caller : this->callers) {
     if (CheckAccepted(caller->times, now) == LinkAction::kClose)
-      silent.emplace_back(caller);
+      timed_out.emplace_back(caller);
   }
-  for (const SocketPtr& socket : silent) {
+  for (const SocketPtr& socket : timed_out) {
     this->counters.Add(LinkEvent::kTimedOut);
     socket->Close();
     this->OnClosed(socket.get(), LinkEndReason::kTimedOut);
--- a/src/edge/links.h
+++ b/src/edge/links.h
@@ -69,7 +69,7 @@
   FrameSocket* socket = nullptr;
   bool connected = false;
   GateStatus status;
-  TimePoint status_at;
+  TimePoint status_received_at;
   // Requests of this node that are in flight there.
   std::uint32_t in_flight = 0;
   // Requests sent after `status` was received, which it does not count yet.
--- a/src/edge/loop_client.cc
+++ b/src/edge/loop_client.cc
@@ -116,7 +116,7 @@
   asio::steady_timer connect_timer;
   boost::beast::flat_buffer buffer;
   std::optional<Parser> parser;
-  std::string output;
+  std::string request_text;
   std::string request_id;
   CallHandler done;
   std::function<void()> on_response_bytes;
@@ -161,7 +161,7 @@
                            bool head,
                            CallHandler handler,
                            std::function<void()> on_bytes) {
-  this->output = std::move(text);
+  this->request_text = std::move(text);
   this->request_id = std::move(id);
   this->head_only = head;
   this->done = std::move(handler);
@@ -183,7 +183,7 @@
 void LoopConnection::Write() {
   this->writing = true;
   asio::async_write(
-      this->socket, asio::buffer(this->output),
+      this->socket, asio::buffer(this->request_text),
       [self = Self(this)](boost::system::error_code error, std::size_t) {
         self->writing = false;
         if (self->closed)
@@ -231,9 +231,10 @@
     if (!parse_error && this->parser->is_done() && this->HandleResponse())
       return;
   }
-  const bool began = this->parser->got_some();
-  this->FailCall(began ? ErrorKind::kTruncated : ErrorKind::kUpstreamFailed,
-                 Execution::kUnknown, CallEvent::kTruncated);
+  const bool response_started = this->parser->got_some();
+  this->FailCall(
+      response_started ? ErrorKind::kTruncated : ErrorKind::kUpstreamFailed,
+      Execution::kUnknown, CallEvent::kTruncated);
 }
 
 void LoopConnection::Parse() {
--- a/src/edge/stream_watch.cc
+++ b/src/edge/stream_watch.cc
@@ -39,24 +39,24 @@
   this->backoff.cap = kMaxRetryDelay;
 }
 
-void StreamWatch::SetRole(ReaderRole now) {
-  if (now == this->role)
+void StreamWatch::SetRole(ReaderRole new_role) {
+  if (new_role == this->role)
     return;
-  const ReaderRole before = std::exchange(this->role, now);
+  const ReaderRole before = std::exchange(this->role, new_role);
   Log(LogLevel::kInfo, "store", "role",
       {{"stream", NameOf(this->stream)},
        {"from", NameOf(before)},
-       {"to", NameOf(now)}});
+       {"to", NameOf(new_role)}});
   // The first reader does not wait for a pending read that was sent with a
   // longer wait time.
-  const bool ask_now = !this->busy || now == ReaderRole::kFirst;
-  if (this->complete && this->Follows() && ask_now) {
+  const bool attempt_now = !this->busy || new_role == ReaderRole::kFirst;
+  if (this->newest_read && this->ReadsStream() && attempt_now) {
     this->NextRound();
     this->Attempt();
   }
 }
 
-bool StreamWatch::Follows() const {
+bool StreamWatch::ReadsStream() const {
   return this->role != ReaderRole::kTold;
 }
 
@@ -92,19 +92,19 @@
   // While the store is unreachable, the query only checks whether it is back:
   // the store must respond at once instead of waiting for new records.
   const Duration wait =
-      this->complete && this->store_reachable && !this->overdue
+      this->newest_read && this->store_reachable && !this->overdue
           ? ReadWaitOf(this->role)
           : Duration{0};
   this->busy = true;
   if (this->attempts++ == 0)
-    this->round_began = SteadyNow();
+    this->round_started_at = SteadyNow();
   this->RunAfter(wait + kOverdueAfter, [this] { this->OnOverdue(); });
   const auto done = [this, lives = this->alive,
                      attempt_round = this->round](const RecordPage& page) {
     if (*lives && attempt_round == this->round)
       this->OnPage(page);
   };
-  if (this->complete)
+  if (this->newest_read)
     this->store.read_from(this->stream, this->next_offset, wait, done);
   else
     this->store.read_newest(this->stream, this->after_key, done);
@@ -115,10 +115,10 @@
 std::optional<Duration> StreamWatch::RemainingReceiveTime() const {
   if (!this->store.heard)
     return std::nullopt;
-  const Duration silent = SteadyNow() - this->store.heard(this->stream);
-  if (silent >= kOverdueAfter)
+  const Duration since_bytes = SteadyNow() - this->store.heard(this->stream);
+  if (since_bytes >= kOverdueAfter)
     return std::nullopt;
-  return kOverdueAfter - silent;
+  return kOverdueAfter - since_bytes;
 }
 
 void StreamWatch::OnOverdue() {
@@ -128,7 +128,7 @@
   }
   this->overdue = true;
   this->SetReachable(false, StoreOutcome::kUnknown);
-  if (this->complete && !this->Follows()) {
+  if (this->newest_read && !this->ReadsStream()) {
     this->NextRound();
     return;
   }
@@ -143,14 +143,14 @@
          {"records", page.records.size()},
          {"attempts", this->attempts},
          {"took_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
-                         SteadyNow() - this->round_began)
+                         SteadyNow() - this->round_started_at)
                          .count()}});
   }
   if (page.outcome == StoreOutcome::kOk) {
     this->NextRound();
     Reset(this->backoff);
     this->SetReachable(true, page.outcome);
-    if (this->complete)
+    if (this->newest_read)
       this->OnAppended(page);
     else
       this->OnNewest(page);
@@ -164,7 +164,7 @@
   // key.
   this->NextRound();
   this->SetReachable(true, page.outcome);
-  this->complete = false;
+  this->newest_read = false;
   this->after_key.clear();
   this->next_offset = 0;
   this->Attempt();
@@ -175,7 +175,7 @@
   // The next attempt of an overdue round is in flight already.
   if (this->overdue && outcome == StoreOutcome::kUnknown)
     return;
-  if (this->complete && !this->Follows()) {
+  if (this->newest_read && !this->ReadsStream()) {
     this->NextRound();
     return;
   }
@@ -196,8 +196,8 @@
     return;
   }
   this->after_key.clear();
-  this->complete = true;
-  if (this->Follows())
+  this->newest_read = true;
+  if (this->ReadsStream())
     this->Attempt();
 }
 
@@ -216,7 +216,7 @@
 void StreamWatch::OnAppended(const RecordPage& page) {
   this->DeliverNewest(page.records);
   this->next_offset = page.next;
-  if (!this->Follows())
+  if (!this->ReadsStream())
     return;
   if (page.records.empty()) {
     this->Attempt();
--- a/src/edge/stream_watch.h
+++ b/src/edge/stream_watch.h
@@ -43,7 +43,7 @@
 
   // A reader keeps reading; a node in the role kTold stops after the read in
   // flight.
-  void SetRole(ReaderRole now);
+  void SetRole(ReaderRole new_role);
 
   // Whether the last call had a response in time.
   [[nodiscard]] bool StoreReachable() const { return this->store_reachable; }
@@ -52,7 +52,7 @@
   CounterTable<StoreOutcome> outcomes;
 
  private:
-  [[nodiscard]] bool Follows() const;
+  [[nodiscard]] bool ReadsStream() const;
   void Attempt();
   void NextRound();
   void OnOverdue();
@@ -64,7 +64,7 @@
   void OnNewest(const RecordPage& page);
   void OnAppended(const RecordPage& page);
   void DeliverNewest(const std::vector<StoredRecord>& records);
-  void SetReachable(bool touched, StoreOutcome outcome);
+  void SetReachable(bool reachable, StoreOutcome outcome);
   void RunAfter(Duration wait, std::function<void()> task);
 
   const RecordStore& store;
@@ -75,13 +75,13 @@
   // Attempts of one round send the same query; the first response ends it.
   std::uint64_t round = 0;
   int attempts = 0;
-  TimePoint round_began;
+  TimePoint round_started_at;
   // An attempt of this round had no response in time.
   bool overdue = false;
   // A query is in flight, or will be sent soon.
   bool busy = false;
   // The newest records were read to the end.
-  bool complete = false;
+  bool newest_read = false;
   // Last key of the pages read so far, while they are not complete.
   std::string after_key;
   std::uint64_t next_offset = 0;
--- a/tests/contract/http_listener_test.cc
+++ b/tests/contract/http_listener_test.cc
@@ -33,7 +33,7 @@
   Server& operator=(const Server&) = delete;
 
   // Runs `task` on the loop and waits for it.
-  void Do(const std::function<void()>& task) {
+  void RunOnLoop(const std::function<void()>& task) {
     std::atomic<bool> done{false};
     boost::asio::post(this->loop, [&] {
       task();
@@ -116,7 +116,7 @@
 
 // A caller pipelines three requests, and the handler responds to the last one
 // first. Responses on one connection are matched to requests by their order.
-Test(http_listener, answers_come_in_the_order_of_the_requests) {
+Test(http_listener, responses_come_in_the_order_of_the_requests) {
   std::vector<ExchangePtr> waiting;
   Server server([&waiting](const ExchangePtr& exchange) {
     waiting.push_back(exchange);
@@ -132,12 +132,12 @@
   });
   cr_assert(got.find("/1") < got.find("/2"));
   cr_assert(got.find("/2") < got.find("/3"));
-  server.Do([&waiting] { waiting.clear(); });
+  server.RunOnLoop([&waiting] { waiting.clear(); });
 }
 
 // A caller closes its connection before the responses. The handler must be
 // notified at once, or the upstream would go on with useless work.
-Test(http_listener, tells_when_a_caller_leaves) {
+Test(http_listener, notifies_when_a_caller_disconnects) {
   std::atomic<int> disconnected{0};
   std::vector<ExchangePtr> waiting;
   Server server([&](const ExchangePtr& exchange) {
@@ -149,18 +149,18 @@
     caller.Send(GetText("/1") + GetText("/2"));
     bool both = false;
     while (!both)
-      server.Do([&] { both = waiting.size() == 2; });
+      server.RunOnLoop([&] { both = waiting.size() == 2; });
   }
   for (int i = 0; i < 2000 && disconnected < 2; ++i)
     std::this_thread::sleep_for(Ms(1));
   cr_assert(disconnected == 2);
-  server.Do([&waiting] { waiting.clear(); });
+  server.RunOnLoop([&waiting] { waiting.clear(); });
 }
 
 // The process stops while two requests of one connection run. "Connection:
 // close" in the first response would abort the second request, which an
 // upstream is running already.
-Test(http_listener, closes_after_the_last_answer_only) {
+Test(http_listener, closes_after_the_last_response_only) {
   std::vector<ExchangePtr> waiting;
   Server server(
       [&waiting](const ExchangePtr& exchange) { waiting.push_back(exchange); });
@@ -168,8 +168,8 @@
   caller.Send(GetText("/1") + GetText("/2"));
   bool both = false;
   while (!both)
-    server.Do([&] { both = waiting.size() == 2; });
-  server.Do([&] {
+    server.RunOnLoop([&] { both = waiting.size() == 2; });
+  server.RunOnLoop([&] {
     server.listener.CloseAfterResponses();
     server.listener.CloseIntake();
     SendResponse(*waiting[0], TextResponse("first"));
@@ -179,34 +179,34 @@
   const std::size_t close = got.find("Connection: close");
   cr_assert(got.find("first") < close);
   cr_assert(close < got.find("second"));
-  server.Do([&waiting] { waiting.clear(); });
+  server.RunOnLoop([&waiting] { waiting.clear(); });
 }
 
 // A caller always sends its next request before the previous response, so its
 // connection is never idle. If a stopping process accepted these requests, it
 // would run until it is killed with a request half done.
-Test(http_listener, lets_go_of_a_caller_that_never_rests) {
+Test(http_listener, closes_a_caller_that_is_never_idle) {
   std::vector<ExchangePtr> waiting;
   Server server(
       [&waiting](const ExchangePtr& exchange) { waiting.push_back(exchange); });
   const RawSocket caller = RawSocket::ConnectTo(server.address.port);
   caller.Send(GetText("/1"));
-  bool taken = false;
-  while (!taken)
-    server.Do([&] { taken = waiting.size() == 1; });
-  server.Do([&] {
+  bool received = false;
+  while (!received)
+    server.RunOnLoop([&] { received = waiting.size() == 1; });
+  server.RunOnLoop([&] {
     server.listener.CloseAfterResponses();
     server.listener.CloseIntake();
   });
   caller.Send(GetText("/2"));
   std::this_thread::sleep_for(Ms(50));
-  server.Do([&] {
+  server.RunOnLoop([&] {
     cr_assert(waiting.size() == 1, "accepted another request");
     SendResponse(*waiting[0], TextResponse("first"));
   });
   const std::string got = caller.ReadToEnd();
   cr_assert(got.find("Connection: close") != std::string::npos);
-  server.Do([&waiting] { waiting.clear(); });
+  server.RunOnLoop([&waiting] { waiting.clear(); });
 }
 
 // Headers that never end would keep a connection open for ever.
--- a/tests/contract/links_test.cc
+++ b/tests/contract/links_test.cc
@@ -21,16 +21,16 @@
 // link when the Hello of the other arrives, no link ever comes up.
 Test(links, a_link_that_waits_for_its_first_status_is_kept) {
   boost::asio::io_context io;
-  std::atomic<bool> introduced{false};
-  bool up = false;
+  std::atomic<bool> hello_received{false};
+  bool link_up = false;
   Address own;
   Links* self = nullptr;
   LinkHandlers on;
   on.on_hello = [&](const Hello& hello) {
     self->Add(hello);
-    introduced = true;
+    hello_received = true;
   };
-  on.on_status = [&](const std::string&, bool) { up = true; };
+  on.on_status = [&](const std::string&, bool) { link_up = true; };
   on.on_link_lost = [](const std::string&) {};
   on.on_caller_disconnected = [](FrameSocket*) {};
   Links links(io, on);
@@ -40,7 +40,7 @@
     std::this_thread::sleep_for(150ms);
     const RawSocket other = RawSocket::ConnectTo(own.port);
     other.Send(EncodeLinkFrame(Hello{"b-1", "b", peer.At()}));
-    while (!introduced && !peer.Stopping())
+    while (!hello_received && !peer.Stopping())
       std::this_thread::yield();
     socket.Send(EncodeLinkFrame(Status{kAllStatusParts, {}}));
     peer.StaySilent(socket);
@@ -51,9 +51,9 @@
   own = *bound;
   links.Add(Hello{"b-1", "b", peer.At()});
   const auto end = std::chrono::steady_clock::now() + 10s;
-  while (!up && std::chrono::steady_clock::now() < end)
+  while (!link_up && std::chrono::steady_clock::now() < end)
     io.run_for(10ms);
-  cr_assert(up);
+  cr_assert(link_up);
   cr_assert(peer.Accepted() == 1, "%d links were opened", peer.Accepted());
 }
 
--- a/tests/contract/loop_client_test.cc
+++ b/tests/contract/loop_client_test.cc
@@ -88,7 +88,7 @@
 // Upstreams send truncated, duplicate, late or malformed responses. A caller
 // that gets one of them as a success holds a truncated document or that of
 // another request.
-Test(loop_client, only_whole_answers_to_the_request_count) {
+Test(loop_client, only_complete_responses_to_the_request_count) {
   for (const ResponseCase& each : kResponses) {
     const ScriptedPeer peer([&each](const RawSocket& socket, int) {
       ScriptedPeer::ReadHead(socket);
@@ -107,7 +107,7 @@
 
 // An upstream sends a second response right after the first. On a reused
 // connection it would be taken for the response to the next request.
-Test(loop_client, a_connection_with_bytes_to_spare_is_not_used_again) {
+Test(loop_client, a_connection_with_unexpected_bytes_is_not_reused) {
   const ScriptedPeer peer([](const RawSocket& socket, int) {
     while (!ScriptedPeer::ReadHead(socket).empty())
       socket.Send(std::string(kCompleteResponse) + kCompleteResponse);
@@ -120,7 +120,7 @@
   cr_assert(client.counters.Get(CallEvent::kOpened) == 2);
 }
 
-Test(loop_client, a_sound_connection_is_used_again) {
+Test(loop_client, a_healthy_connection_is_reused) {
   const ScriptedPeer peer([](const RawSocket& socket, int) {
     while (!ScriptedPeer::ReadHead(socket).empty())
       socket.Send(kCompleteResponse);
@@ -135,7 +135,7 @@
 
 // The upstream announces that it closes idle connections after a second. A
 // request sent while it closes the connection may or may not have run.
-Test(loop_client, a_connection_about_to_be_closed_is_left_alone) {
+Test(loop_client, a_connection_about_to_be_closed_is_not_reused) {
   const ScriptedPeer peer([](const RawSocket& socket, int) {
     while (!ScriptedPeer::ReadHead(socket).empty())
       socket.Send(
@@ -152,7 +152,7 @@
 
 // No process listens at the address, so the request cannot have run and may be
 // retried elsewhere even if it is not idempotent.
-Test(loop_client, a_refused_connection_is_known_as_not_run) {
+Test(loop_client, a_call_on_a_refused_connection_counts_as_not_run) {
   Address unused_address;
   {
     const ScriptedPeer peer([](const RawSocket&, int) {});
--- a/tests/unit/link_health_test.cc
+++ b/tests/unit/link_health_test.cc
@@ -30,7 +30,7 @@
 // A gate sends its load continually to a node that has no requests for it. If
 // that node sends no pings because it receives enough, the gate closes the link
 // after five seconds, and callers of requests sent just then get 502.
-Test(link_health, an_end_that_only_listens_is_not_closed) {
+Test(link_health, a_link_that_only_receives_is_not_closed) {
   Link link;
   for (Ms passed{0}; passed < Ms(20000); passed += Ms(100)) {
     const TimePoint now = kStart + passed;
@@ -40,7 +40,7 @@
   }
 }
 
-Test(link_health, a_quiet_link_is_asked_and_kept) {
+Test(link_health, an_idle_link_is_pinged_and_kept) {
   Link link;
   for (Ms passed{0}; passed < Ms(20000); passed += Ms(100))
     cr_assert(StepLink(link, kStart + passed));
@@ -48,7 +48,8 @@
 
 // A device between two nodes has lost the state of their connection and drops
 // its packets. Requests on the link would wait until their deadlines.
-Test(link_health, a_silent_link_is_given_up_within_a_second_of_a_question) {
+Test(link_health,
+     a_link_without_responses_is_closed_within_a_second_of_a_ping) {
   LinkTimes times{kStart, kStart, kStart};
   cr_assert(CheckOpened(times, true, kStart + Ms(700)) != LinkAction::kClose);
   cr_assert(CheckOpened(times, true, kStart + Ms(701)) == LinkAction::kClose);
@@ -57,7 +58,7 @@
 // A data centre is disconnected. Until its links are closed, requests would
 // still be sent there, and those that may not run twice end as "outcome
 // unknown".
-Test(link_health, an_open_question_soon_puts_a_link_in_doubt) {
+Test(link_health, a_late_response_soon_marks_a_link_as_unresponsive) {
   LinkTimes times{kStart, kStart, kStart};
   cr_assert_not(IsUnresponsive(times, kStart + Ms(150)));
   cr_assert(IsUnresponsive(times, kStart + Ms(151)));
--- a/tests/unit/status_parts_test.cc
+++ b/tests/unit/status_parts_test.cc
@@ -35,7 +35,7 @@
   return known;
 }
 
-Test(status_parts, the_first_status_tells_all) {
+Test(status_parts, the_first_status_is_complete) {
   cr_assert(ReceiveStatus({}, {kAllStatusParts, BusyStatus()}) == BusyStatus());
 }
 
@@ -64,7 +64,7 @@
 
 // Notes of a move and loads change several times a second. Sent together with
 // names, times and calls they would saturate the lines between data centres.
-Test(status_parts, what_has_not_changed_costs_nothing) {
+Test(status_parts, unchanged_parts_are_not_sent) {
   const GateStatus before = BusyStatus();
   GateStatus after = before;
   after.waiting = 5;
--- a/tests/unit/stream_watch_test.cc
+++ b/tests/unit/stream_watch_test.cc
@@ -35,20 +35,20 @@
 // Operators publish several times within a second, and a node that was busy
 // reads all records at once. Processing each configuration would cost
 // milliseconds apiece, though only the last one takes effect.
-Test(stream_watch, of_records_that_come_together_the_last_of_each_key_counts) {
+Test(stream_watch, only_the_last_record_of_each_key_is_delivered) {
   boost::asio::io_context loop;
   PagedStore paged;
   paged.pages.push_back(PageOf(
       {{"config", "1"}, {"move/desk", "v2"}, {"config", "2"}, {"config", "3"}},
       1));
-  std::vector<std::string> taken;
+  std::vector<std::string> delivered;
   StreamWatch watch(
       loop, paged.store, RecordStream::kOrders,
-      [&](const StoredRecord& record) { taken.push_back(record.value); });
+      [&](const StoredRecord& record) { delivered.push_back(record.value); });
   watch.Start();
   loop.poll();
   const std::vector<std::string> expected = {"v2", "3"};
-  cr_assert(taken == expected);
+  cr_assert(delivered == expected);
   cr_assert(watch.StoreReachable());
 }
 
