--- a/src/edge/config_exchange.cc
+++ b/src/edge/config_exchange.cc
@@ -19,7 +19,7 @@
   std::vector<ConfigHolder> holders;
   for (const auto& [name, peer] : node.links.Peers()) {
     if (peer.connected) {
-      holders.push_back({name, peer.status.held,
+      holders.push_back({name, peer.status.held_version,
                          peer.data_center == node.settings.data_center});
     }
   }
@@ -45,8 +45,8 @@
   const ConfigVersion held = HeldVersion(node);
   // A reader that reaches the store gets the change there within its interval
   // between reads.
-  const bool is_reader =
-      node.orders.Role() != ReaderRole::kNonReader && node.orders.InTouch();
+  const bool is_reader = node.orders.Role() != ReaderRole::kNonReader &&
+                         node.orders.StoreReachable();
   const auto peer = NextToQuery(exchange.fetch, HoldersOf(node), held,
                                 is_reader, SteadyNow(), node.rng);
   if (!peer)
@@ -55,9 +55,9 @@
   Log(LogLevel::kInfo, "config", "asked",
       {{"node", *peer},
        {"held", held},
-       {"theirs", node.links.Find(*peer)->status.held},
+       {"theirs", node.links.Find(*peer)->status.held_version},
        {"whole", exchange.request_whole ? 1 : 0}});
-  node.links.AskConfig(
+  node.links.RequestConfig(
       *peer, exchange.request_whole ? 0 : exchange.archive.NewestDigest());
 }
 
@@ -84,7 +84,7 @@
       {{"node", from},
        {"version", copy->version},
        {"bytes", copy->packed.size()},
-       {"whole", copy->base == 0 ? 1 : 0},
+       {"whole", copy->base_digest == 0 ? 1 : 0},
        {"under_way", exchange.in_flight.by_node.size()}});
   return std::move(*copy);
 }
--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -118,7 +118,9 @@
     if (!error)
       this->OnDeadline(id);
   });
-  exchange->on_gone = [this, id] { this->OnCallerDisconnected(id); };
+  exchange->on_caller_disconnected = [this, id] {
+    this->OnCallerDisconnected(id);
+  };
   OnFirstAttempt(this->BudgetOf(pending.service));
   if (pending.nested)
     RecordCall(this->shortage, std::string(calling_route), pending.service);
@@ -136,7 +138,7 @@
       ParseDeadline(FindHeader(headers, this->names.deadline));
   if (requested)
     allowed = std::min(allowed, *requested);
-  pending.deadline = pending.exchange->arrived + allowed;
+  pending.deadline = pending.exchange->received_at + allowed;
   if (!requested || pending.nested)
     return;
   DeadlineHistory& history = this->deadline_histories[route.name];
@@ -147,7 +149,8 @@
 std::optional<TimePoint> Entry::AimOf(const PendingRequest& pending) {
   if (pending.route->aim <= Duration{0})
     return std::nullopt;
-  return pending.exchange->arrived + pending.route->aim - pending.time_waited;
+  return pending.exchange->received_at + pending.route->aim -
+         pending.time_waited;
 }
 
 bool Entry::ShedForDependency(std::uint64_t id, PendingRequest& pending) {
@@ -191,7 +194,8 @@
     candidate.distance = distance;
     candidate.slots = std::max<std::uint32_t>(status.slots, 1);
     candidate.load = load;
-    candidate.run_time = ReportedTimeOf(status.times, pending.route->name);
+    candidate.run_time =
+        ReportedTimeOf(status.route_times, pending.route->name);
     candidate.mean_run_time = std::chrono::milliseconds(status.mean_ms);
     candidate.waiting = status.waiting;
     candidate.queued_time = std::chrono::milliseconds(status.queued_ms);
@@ -221,11 +225,11 @@
     add(this->settings.vm, Distance::kOwnVm, own, own.running + own.waiting);
   for (const auto& [name, peer] : this->links.Peers()) {
     if (!peer.connected ||
-        !fits(name, peer.status, Links::LinkInDoubt(peer, now)))
+        !fits(name, peer.status, Links::IsLinkUnresponsive(peer, now)))
       continue;
     const bool near = peer.data_center == this->settings.data_center;
     const std::uint32_t reported_load =
-        peer.status.running + peer.status.waiting + peer.sent_since;
+        peer.status.running + peer.status.waiting + peer.sent_since_status;
     add(name, near ? Distance::kOwnDataCenter : Distance::kOtherDataCenter,
         peer.status, std::max(reported_load, peer.in_flight));
   }
@@ -300,7 +304,7 @@
 
 RunFrame Entry::FrameOf(std::uint64_t id, const PendingRequest& pending) {
   RunFrame frame;
-  frame.call = id;
+  frame.call_id = id;
   frame.route = pending.route->name;
   // If a nested call fails, its half-finished request fails too and the work
   // done for it is lost. So nested calls go first, and may wait until their
@@ -338,7 +342,7 @@
   RunFrame frame = this->FrameOf(id, pending);
   if (pending.at_own_gate) {
     this->gate.Run(id, std::move(frame), [this](ResultFrame result) {
-      const std::uint64_t call = result.call;
+      const std::uint64_t call = result.call_id;
       this->HandleResult(call, std::move(result));
     });
     return;
@@ -353,7 +357,7 @@
 }
 
 void Entry::OnResult(ResultFrame result) {
-  const std::uint64_t id = result.call;
+  const std::uint64_t id = result.call_id;
   this->HandleResult(id, std::move(result));
 }
 
@@ -363,8 +367,8 @@
     return;
   PendingRequest& pending = found->second;
   pending.in_flight = false;
-  pending.run_time = Duration(result.took_us);
-  if (result.answered) {
+  pending.run_time = Duration(result.upstream_time_us);
+  if (result.has_response) {
     this->HandleResponse(id, pending, std::move(result));
   } else if (result.execution == Execution::kNotRun) {
     this->HandleRefusal(id, pending, result);
@@ -378,7 +382,7 @@
                            ResultFrame result) {
   const bool failed = result.response.status >= kFirstServerError;
   this->RecordOutcome(pending.node, failed);
-  this->ReportOutcome(pending, failed, Duration(result.took_us));
+  this->ReportOutcome(pending, failed, Duration(result.upstream_time_us));
   ++pending.attempts;
   pending.may_have_run = true;
   if (failed && this->MayRetry(pending, ErrorKind::kUpstreamFailed, false)) {
@@ -423,7 +427,7 @@
                           PendingRequest& pending,
                           ResultFrame& result) {
   this->RecordOutcome(pending.node, true);
-  this->ReportOutcome(pending, true, Duration(result.took_us));
+  this->ReportOutcome(pending, true, Duration(result.upstream_time_us));
   pending.tried.push_back(pending.node);
   pending.last_error = result.error;
   ++pending.attempts;
@@ -471,7 +475,7 @@
   }
   for (const std::uint64_t id : lost) {
     ResultFrame result;
-    result.call = id;
+    result.call_id = id;
     result.error = ErrorKind::kPeerUnreachable;
     result.execution = Execution::kUnknown;
     this->HandleResult(id, std::move(result));
--- a/src/edge/entry_answers.cc
+++ b/src/edge/entry_answers.cc
@@ -53,14 +53,14 @@
       this->mean_response_bytes.try_emplace(pending.route->name, bytes)
           .first->second;
   mean += kNewestResponseWeight * (bytes - mean);
-  Count(this->latency_by_route[pending.route->name],
-        SteadyNow() - pending.exchange->arrived);
+  RecordLatency(this->latency_by_route[pending.route->name],
+                SteadyNow() - pending.exchange->received_at);
   RemoveHopHeaders(response.headers);
   this->CountDemand(pending, false);
   this->LogDecision(pending, "answered", ErrorKind::kInternal, response.status);
   const ExchangePtr exchange = pending.exchange;
   this->pending_requests.erase(found);
-  Answer(*exchange, response);
+  SendResponse(*exchange, response);
 }
 
 // For most refusals `kind` means "not run", which must hold for every attempt.
@@ -83,7 +83,7 @@
   this->LogDecision(pending, "refused", kind, response.status);
   const ExchangePtr exchange = pending.exchange;
   this->pending_requests.erase(found);
-  Answer(*exchange, response);
+  SendResponse(*exchange, response);
 }
 
 // Calls of running requests are not counted: they go before all others, so they
@@ -110,7 +110,7 @@
        {"config", this->snapshot ? this->snapshot->version : 0},
        {"host", FindHeader(request.headers, "Host")},
        {"path", PathOf(request)}});
-  Answer(*exchange, response);
+  SendResponse(*exchange, response);
 }
 
 void Entry::ReportOutcome(const PendingRequest& pending,
@@ -152,11 +152,11 @@
                         ErrorKind kind,
                         int status) {
   const TimePoint now = SteadyNow();
-  const Duration age = now - pending.exchange->arrived;
+  const Duration age = now - pending.exchange->received_at;
   const Peer* peer = this->links.Find(pending.node);
   const GateStatus seen = peer == nullptr ? this->gate.Status() : peer->status;
   const Duration seen_age =
-      peer == nullptr ? Duration{0} : now - peer->status_at;
+      peer == nullptr ? Duration{0} : now - peer->status_received_at;
   Log(LogLevel::kInfo, "requests", outcome,
       {{"id", FindHeader(pending.exchange->request.headers, kHeaderRequestId)},
        {"reason", kind == ErrorKind::kInternal ? "" : NameOf(kind)},
--- a/tests/unit/stream_watch_test.cc
+++ b/tests/unit/stream_watch_test.cc
@@ -9,7 +9,7 @@
 namespace teaselspread {
 namespace {
 
-// A store that gives the pages it was told to give, and then no answer.
+// A store that returns the given pages, and then does not respond.
 struct PagedStore {
   std::vector<RecordPage> pages;
   RecordStore store;
@@ -33,23 +33,23 @@
 }
 
 // Operators publish several times within a second, and a node that was busy
-// reads all of it at once. Taking in each of the configurations costs
-// milliseconds apiece, and only the last one is ever in force.
-Test(stream_watch, of_records_that_come_together_the_last_of_each_key_counts) {
+// reads all records at once. Processing each configuration would cost
+// milliseconds apiece, though only the last one takes effect.
+Test(stream_watch, only_the_last_record_of_each_key_is_delivered) {
   boost::asio::io_context loop;
   PagedStore paged;
   paged.pages.push_back(PageOf(
       {{"config", "1"}, {"move/desk", "v2"}, {"config", "2"}, {"config", "3"}},
       1));
-  std::vector<std::string> taken;
+  std::vector<std::string> delivered;
   StreamWatch watch(
       loop, paged.store, RecordStream::kOrders,
-      [&](const StoredRecord& record) { taken.push_back(record.value); });
+      [&](const StoredRecord& record) { delivered.push_back(record.value); });
   watch.Start();
   loop.poll();
   const std::vector<std::string> expected = {"v2", "3"};
-  cr_assert(taken == expected);
-  cr_assert(watch.InTouch());
+  cr_assert(delivered == expected);
+  cr_assert(watch.StoreReachable());
 }
 
 }  // namespace
