--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -250,7 +250,7 @@
                                    this->PlacedRequestOf(pending), this->rng);
   if (chosen == candidates.size()) {
     if (pending.has_response) {
-      this->SendResponse(id, std::move(pending.response));
+      this->ForwardResponse(id, std::move(pending.response));
       return;
     }
     this->SendError(id, pending.last_error,
@@ -391,7 +391,7 @@
     this->Attempt(id);
     return;
   }
-  this->SendResponse(id, std::move(result.response));
+  this->ForwardResponse(id, std::move(result.response));
 }
 
 // The request did not run. A gate's refusal did not reach the upstream, so the
@@ -417,7 +417,7 @@
     return;
   }
   if (pending.has_response) {
-    this->SendResponse(id, std::move(pending.response));
+    this->ForwardResponse(id, std::move(pending.response));
     return;
   }
   this->SendError(id, result.error, pending.retry_after);
@@ -437,7 +437,7 @@
     return;
   }
   if (pending.has_response) {
-    this->SendResponse(id, std::move(pending.response));
+    this->ForwardResponse(id, std::move(pending.response));
     return;
   }
   this->SendError(id, result.error, kEntryRetryAfter);
--- a/src/edge/entry.h
+++ b/src/edge/entry.h
@@ -168,7 +168,7 @@
   bool MayRetry(PendingRequest& pending, ErrorKind kind, bool not_run);
   void OnDeadline(std::uint64_t id);
   void OnCallerDisconnected(std::uint64_t id);
-  void SendResponse(std::uint64_t id, HttpResponse response);
+  void ForwardResponse(std::uint64_t id, HttpResponse response);
   void SendError(std::uint64_t id, ErrorKind kind, Duration retry_after);
   void RefuseImmediately(const ExchangePtr& exchange, ErrorKind kind);
   [[nodiscard]] std::vector<Candidate> CandidatesFor(PendingRequest& pending);
--- a/src/edge/entry_answers.cc
+++ b/src/edge/entry_answers.cc
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-void Entry::SendResponse(std::uint64_t id, HttpResponse response) {
+void Entry::ForwardResponse(std::uint64_t id, HttpResponse response) {
   const auto found = this->pending_requests.find(id);
   PendingRequest& pending = found->second;
   ++this->counters.answered;
