--- a/benchmark/capacity_config.h
+++ b/benchmark/capacity_config.h
@@ -141,10 +141,10 @@
   rows.push_back({"log", "bytes of a checkpoint", "B", checkpoint, 0,
                   SlopeText(size, "service (B)"), KindAt(size, kServices)});
   rows.push_back({"log", "checkpoints a day", "",
-                  kChangesPerSecond * 86400 / double(rule.changes), 0,
+                  kChangesPerSecond * 86400 / double(rule.max_changes), 0,
                   "one for 64 changes", "worked out"});
   rows.push_back({"reader", "bytes of checkpoints read", "B/s",
-                  checkpoint * kChangesPerSecond / double(rule.changes),
+                  checkpoint * kChangesPerSecond / double(rule.max_changes),
                   kBytesBound, "one for 64 changes", "worked out"});
 }
 
--- a/include/teaselspread/config_log.h
+++ b/include/teaselspread/config_log.h
@@ -138,7 +138,7 @@
 [[nodiscard]] Result<LogRecord> DecodeRecord(std::string_view bytes);
 
 // Outcomes that the fold keeps.
-inline constexpr std::size_t kOutcomesKept = 256;
+inline constexpr std::size_t kMaxOutcomes = 256;
 
 // A record that waits for a checkpoint.
 struct PendingRecord {
@@ -173,7 +173,7 @@
   // Records after `pending_floor` that wait for a checkpoint.
   std::deque<PendingRecord> pending;
   std::size_t pending_bytes = 0;
-  LogOffset pending_floor = 0;
+  LogOffset pending_after = 0;
 
   std::array<std::uint64_t, static_cast<std::size_t>(FoldReason::kCount)>
       counters{};
@@ -241,15 +241,15 @@
   // How long the log keeps a record.
   Duration retention = std::chrono::hours(24);
   // Longest random wait of a writer, so that one of them is first.
-  Duration spread = std::chrono::seconds(5);
+  Duration max_write_delay = std::chrono::seconds(5);
   // Changes after which a late reader would have too much to fold.
-  std::size_t changes = 64;
+  std::size_t max_changes = 64;
 };
 
 // What a writer remembers between calls. Not thread safe.
 struct CheckpointTimer {
   // Offset of the checkpoint whose age is being watched, and since when.
-  LogOffset watched = 0;
+  LogOffset watched_offset = 0;
   std::optional<TimePoint> watched_since;
   // When to write, while one is due.
   std::optional<TimePoint> write_at;
--- a/src/config/fold.cc
+++ b/src/config/fold.cc
@@ -26,19 +26,21 @@
   ++state.counters.at(static_cast<std::size_t>(reason));
 }
 
-void ClearPending(FoldState& state, LogOffset floor) {
+void ClearPending(FoldState& state, LogOffset after) {
   state.pending.clear();
   state.pending_bytes = 0;
-  state.pending_floor = floor;
+  state.pending_after = after;
 }
 
 void DropOldestPending(FoldState& state) {
-  state.pending_floor = state.pending.front().offset;
+  state.pending_after = state.pending.front().offset;
   state.pending_bytes -= state.pending.front().bytes.size();
   state.pending.pop_front();
 }
 
-FoldReason Keep(FoldState& state, LogOffset offset, std::string_view bytes) {
+FoldReason KeepPending(FoldState& state,
+                       LogOffset offset,
+                       std::string_view bytes) {
   state.pending.push_back({offset, std::string(bytes)});
   state.pending_bytes += bytes.size();
   while (state.pending.size() > kMaxPending ||
@@ -48,72 +50,74 @@
   return FoldReason::kPending;
 }
 
-void StopJudging(FoldState& state, LogOffset floor) {
+void StopJudging(FoldState& state, LogOffset after) {
   state.is_current = false;
-  ClearPending(state, floor);
+  ClearPending(state, after);
 }
 
 // Precondition: state.is_current.
-FoldReason Judge(Folding& folding, LogOffset offset, const LogRecord& record) {
+FoldReason JudgeRecord(FoldContext& context,
+                       LogOffset offset,
+                       const LogRecord& record) {
   if (const auto* change = std::get_if<ChangeRecord>(&record))
-    return JudgeChange(folding, offset, *change);
+    return JudgeChange(context, offset, *change);
   if (const auto* origin = std::get_if<OriginRecord>(&record))
-    return JudgeOrigin(folding, offset, *origin);
+    return JudgeOrigin(context, offset, *origin);
   if (const auto* checkpoint = std::get_if<CheckpointRecord>(&record))
-    return SeeCheckpoint(folding.state, offset, *checkpoint);
+    return JudgeCheckpoint(context.state, offset, *checkpoint);
   return FoldReason::kOpaque;
 }
 
 // Judges what came between the last record that the checkpoint covers and the
 // checkpoint itself, so that a late reader stands where all others stand.
-void Replay(Folding& folding, LogOffset through) {
+void Replay(FoldContext& context, LogOffset through) {
   std::deque<PendingRecord> pending;
-  pending.swap(folding.state.pending);
-  ClearPending(folding.state, through);
-  for (const PendingRecord& kept : pending) {
-    if (kept.offset <= through)
+  pending.swap(context.state.pending);
+  ClearPending(context.state, through);
+  for (const PendingRecord& waiting : pending) {
+    if (waiting.offset <= through)
       continue;
-    if (const auto record = DecodeRecord(kept.bytes))
-      Count(folding.state, Judge(folding, kept.offset, *record));
+    if (const auto record = DecodeRecord(waiting.bytes))
+      Count(context.state, JudgeRecord(context, waiting.offset, *record));
   }
 }
 
-FoldReason TakeWhileWaiting(Folding& folding,
-                            LogOffset offset,
-                            const LogRecord& record,
-                            std::string_view bytes) {
+FoldReason FoldWhileNotCurrent(FoldContext& context,
+                               LogOffset offset,
+                               const LogRecord& record,
+                               std::string_view bytes) {
   if (const auto* checkpoint = std::get_if<CheckpointRecord>(&record)) {
-    if (!AdoptCheckpoint(folding, offset, *checkpoint))
+    if (!AdoptCheckpoint(context, offset, *checkpoint))
       return FoldReason::kCheckpointUnusable;
-    Replay(folding, checkpoint->through);
+    Replay(context, checkpoint->through);
     return FoldReason::kCheckpointAdopted;
   }
   if (const auto* origin = std::get_if<OriginRecord>(&record);
-      origin != nullptr && IsGoodOrigin(offset, *origin)) {
-    ClearPending(folding.state, offset);
-    return JudgeOrigin(folding, offset, *origin);
+      origin != nullptr && IsValidOrigin(offset, *origin)) {
+    ClearPending(context.state, offset);
+    return JudgeOrigin(context, offset, *origin);
   }
-  return Keep(folding.state, offset, bytes);
+  return KeepPending(context.state, offset, bytes);
 }
 
-FoldReason Take(Folding& folding,
-                LogOffset offset,
-                std::string_view bytes,
-                std::optional<OpaqueRecord>& opaque) {
+FoldReason FoldRecord(FoldContext& context,
+                      LogOffset offset,
+                      std::string_view bytes,
+                      std::optional<OpaqueRecord>& opaque) {
   auto record = DecodeRecord(bytes);
   if (!record) {
     if (record.error().kind != ErrorKind::kFrameVersion)
       return FoldReason::kMalformed;
-    StopJudging(folding.state, offset);
+    StopJudging(context.state, offset);
     return FoldReason::kUnknownFormat;
   }
   if (auto* found = std::get_if<OpaqueRecord>(&*record)) {
     opaque = std::move(*found);
     return FoldReason::kOpaque;
   }
-  if (folding.state.is_current)
-    return Judge(folding, offset, *record);
-  return TakeWhileWaiting(folding, offset, *record, bytes);
+  if (context.state.is_current)
+    return JudgeRecord(context, offset, *record);
+  return FoldWhileNotCurrent(context, offset, *record, bytes);
 }
 
 }  // namespace
@@ -129,9 +133,9 @@
   } else {
     SkipTo(state, offset);
     state.position = offset;
-    Folding folding{state};
-    result.reason = Take(folding, offset, bytes, result.opaque);
-    result.step = std::move(folding.step);
+    FoldContext context{state};
+    result.reason = FoldRecord(context, offset, bytes, result.opaque);
+    result.step = std::move(context.step);
   }
   Count(state, result.reason);
   return result;
--- a/src/config/judge.cc
+++ b/src/config/judge.cc
@@ -11,8 +11,8 @@
 namespace teaselspread {
 namespace {
 
-constexpr std::size_t kMaxPublishId = 64;
-constexpr std::size_t kMaxMessage = 400;
+constexpr std::size_t kMaxPublishIdBytes = 64;
+constexpr std::size_t kMaxMessageBytes = 400;
 
 // A checkpoint is of use only to readers that still get every record behind
 // the last one that it covers. Counting one that ends long before its own place
@@ -20,39 +20,39 @@
 constexpr LogOffset kMaxCheckpointLag = 1024;
 
 bool IsPublishId(std::string_view id) {
-  return !id.empty() && id.size() <= kMaxPublishId;
+  return !id.empty() && id.size() <= kMaxPublishIdBytes;
 }
 
 // Notes that `delta`, which is already applied, made `version`.
-void Advance(Folding& folding,
-             ConfigVersion version,
-             const std::string& publish_id,
-             const Digest& digest,
-             Delta delta) {
-  FoldState& state = folding.state;
-  if (!folding.step)
-    folding.step = VersionStep{state.head, version, std::move(delta)};
+void AdvanceHead(FoldContext& context,
+                 ConfigVersion version,
+                 const std::string& publish_id,
+                 const Digest& digest,
+                 Delta delta) {
+  FoldState& state = context.state;
+  if (!context.step)
+    context.step = VersionStep{state.head, version, std::move(delta)};
   else
-    Append(folding.step->delta, delta);
-  folding.step->to = version;
+    Append(context.step->delta, delta);
+  context.step->to = version;
   state.head = version;
   state.head_publish_id = publish_id;
   state.digest = digest;
 }
 
 // Puts a checked document in the place of the accepted one.
-void Replace(Folding& folding,
-             ConfigVersion version,
-             const std::string& publish_id,
-             const Digest& digest,
-             const Document& document) {
-  Delta delta = MakeDelta(folding.state.document, document);
-  folding.state.document = document;
-  Advance(folding, version, publish_id, digest, std::move(delta));
+void ReplaceDocument(FoldContext& context,
+                     ConfigVersion version,
+                     const std::string& publish_id,
+                     const Digest& digest,
+                     const Document& document) {
+  Delta delta = MakeDelta(context.state.document, document);
+  context.state.document = document;
+  AdvanceHead(context, version, publish_id, digest, std::move(delta));
 }
 
 void DropOldOutcomes(FoldState& state) {
-  while (state.outcomes.size() > kOutcomesKept) {
+  while (state.outcomes.size() > kMaxOutcomes) {
     state.outcomes.pop_front();
     // As many as anyone keeps.
     state.outcomes_since = 0;
@@ -61,12 +61,12 @@
 
 // Keeps the verdict for publishers, at most kOutcomesKept of them. One that is
 // forgotten does no harm: a repeated append then fails on its parent.
-FoldReason Record(FoldState& state,
-                  LogOffset offset,
-                  const std::string& publish_id,
-                  FoldReason reason,
-                  std::string message) {
-  message.resize(std::min(message.size(), kMaxMessage));
+FoldReason RecordOutcome(FoldState& state,
+                         LogOffset offset,
+                         const std::string& publish_id,
+                         FoldReason reason,
+                         std::string message) {
+  message.resize(std::min(message.size(), kMaxMessageBytes));
   state.outcomes.push_back({publish_id, offset, reason, state.head,
                             state.head_publish_id, std::move(message)});
   DropOldOutcomes(state);
@@ -81,7 +81,7 @@
                   std::string message) {
   if (FindOutcome(state, publish_id) != nullptr)
     return FoldReason::kDuplicate;
-  return Record(state, offset, publish_id, reason, std::move(message));
+  return RecordOutcome(state, offset, publish_id, reason, std::move(message));
 }
 
 std::string ConflictText(const FoldState& state, const ChangeRecord& change) {
@@ -89,16 +89,16 @@
                 state.head, ", which publish ", state.head_publish_id, " made");
 }
 
-std::string DigestText(const Digest& wanted, const Digest& got) {
-  return Concat("the digest is ", ToString(got), ", the record says ",
-                ToString(wanted));
+std::string DigestText(const Digest& expected, const Digest& actual) {
+  return Concat("the digest is ", ToString(actual), ", the record says ",
+                ToString(expected));
 }
 
 // Takes over the newest of the outcomes that a record carries. More than are
 // kept would grow the state of all readers for good.
-void TakeOutcomes(FoldState& state,
-                  const std::vector<PublishOutcome>& outcomes,
-                  LogOffset since) {
+void AdoptOutcomes(FoldState& state,
+                   const std::vector<PublishOutcome>& outcomes,
+                   LogOffset since) {
   state.outcomes.assign(outcomes.begin(), outcomes.end());
   state.outcomes_since = since;
   DropOldOutcomes(state);
@@ -112,16 +112,16 @@
     return;
   }
   std::deque<PublishOutcome> outcomes;
-  std::set<std::string_view> known;
+  std::set<std::string_view> known_ids;
   for (const PublishOutcome& outcome : checkpoint.outcomes) {
     if (outcome.offset >= state.outcomes_since)
       continue;
     outcomes.push_back(outcome);
-    known.insert(outcome.publish_id);
+    known_ids.insert(outcome.publish_id);
   }
   for (PublishOutcome& outcome : state.outcomes) {
     if (outcome.reason == FoldReason::kAccepted ||
-        !known.contains(outcome.publish_id)) {
+        !known_ids.contains(outcome.publish_id)) {
       outcomes.push_back(std::move(outcome));
     }
   }
@@ -143,9 +143,9 @@
 };
 
 // Whether a document that a record leads to may be accepted.
-Finding CheckResult(const Document& document, const Digest& wanted) {
-  if (const Digest digest = DigestOf(document); digest != wanted)
-    return {FoldReason::kDigestMismatch, DigestText(wanted, digest)};
+Finding CheckNewDocument(const Document& document, const Digest& expected) {
+  if (const Digest digest = DigestOf(document); digest != expected)
+    return {FoldReason::kDigestMismatch, DigestText(expected, digest)};
   if (const auto valid = ValidateAll(document); !valid)
     return {FoldReason::kInvalid, valid.error().message};
   return {};
@@ -153,19 +153,19 @@
 
 // Whether the moves are still the same ones as before.
 Finding CheckMoves(const Document& moves_before, const Document& after) {
-  if (const auto kept = CheckMovesKept(moves_before, after); !kept) {
+  if (const auto checked = CheckMovesKept(moves_before, after); !checked) {
     return {FoldReason::kInvalid,
-            Concat(kept.error().path, ": ", kept.error().text)};
+            Concat(checked.error().path, ": ", checked.error().text)};
   }
   return {};
 }
 
 }  // namespace
 
-FoldReason JudgeChange(Folding& folding,
+FoldReason JudgeChange(FoldContext& context,
                        LogOffset offset,
                        const ChangeRecord& change) {
-  FoldState& state = folding.state;
+  FoldState& state = context.state;
   const std::string& id = change.publish_id;
   if (!IsPublishId(id))
     return FoldReason::kMalformed;
@@ -177,54 +177,54 @@
   }
   // Applied in place: a copy of the document would cost as much as the checks.
   Delta delta = DeltaOf(state.document, change);
-  const Delta undoing = Undoing(state.document, delta);
+  const Delta undo_delta = Undoing(state.document, delta);
   const Document moves_before = MovesOf(state.document);
   ApplyInPlace(state.document, delta);
-  Finding finding = CheckResult(state.document, change.digest);
+  Finding finding = CheckNewDocument(state.document, change.digest);
   if (finding.reason == FoldReason::kAccepted)
     finding = CheckMoves(moves_before, state.document);
   if (const auto& [reason, text] = finding; reason != FoldReason::kAccepted) {
-    ApplyInPlace(state.document, undoing);
+    ApplyInPlace(state.document, undo_delta);
     return Refuse(state, offset, id, reason, text);
   }
-  Advance(folding, offset, id, change.digest, std::move(delta));
+  AdvanceHead(context, offset, id, change.digest, std::move(delta));
   ++state.changes_since_checkpoint;
-  return Record(state, offset, id, FoldReason::kAccepted, "");
+  return RecordOutcome(state, offset, id, FoldReason::kAccepted, "");
 }
 
-bool IsGoodOrigin(LogOffset offset, const OriginRecord& origin) {
+bool IsValidOrigin(LogOffset offset, const OriginRecord& origin) {
   return origin.through + 1 == offset && IsPublishId(origin.publish_id) &&
-         CheckResult(origin.document, origin.digest).reason ==
+         CheckNewDocument(origin.document, origin.digest).reason ==
              FoldReason::kAccepted;
 }
 
-FoldReason JudgeOrigin(Folding& folding,
+FoldReason JudgeOrigin(FoldContext& context,
                        LogOffset offset,
                        const OriginRecord& origin) {
-  FoldState& state = folding.state;
+  FoldState& state = context.state;
   const std::string& id = origin.publish_id;
   if (!IsPublishId(id))
     return FoldReason::kMalformed;
   // Known or not: a reader that does not know the publish_id must come to the
   // same verdict.
-  if (IsGoodOrigin(offset, origin)) {
-    TakeOutcomes(state, origin.outcomes, 0);
+  if (IsValidOrigin(offset, origin)) {
+    AdoptOutcomes(state, origin.outcomes, 0);
     state.is_current = true;
-    Replace(folding, offset, id, origin.digest, origin.document);
+    ReplaceDocument(context, offset, id, origin.digest, origin.document);
     ++state.changes_since_checkpoint;
-    return Record(state, offset, id, FoldReason::kAccepted, "");
+    return RecordOutcome(state, offset, id, FoldReason::kAccepted, "");
   }
   if (origin.through + 1 != offset) {
     return Refuse(state, offset, id, FoldReason::kConflict,
                   "another record came before this new beginning");
   }
-  const auto [reason, text] = CheckResult(origin.document, origin.digest);
+  const auto [reason, text] = CheckNewDocument(origin.document, origin.digest);
   return Refuse(state, offset, id, reason, text);
 }
 
-FoldReason SeeCheckpoint(FoldState& state,
-                         LogOffset offset,
-                         const CheckpointRecord& checkpoint) {
+FoldReason JudgeCheckpoint(FoldState& state,
+                           LogOffset offset,
+                           const CheckpointRecord& checkpoint) {
   const bool is_head = checkpoint.version == state.head;
   if (checkpoint.version == 0 || checkpoint.version > state.head ||
       checkpoint.through >= offset ||
@@ -240,27 +240,27 @@
   return FoldReason::kCheckpointSeen;
 }
 
-bool AdoptCheckpoint(Folding& folding,
+bool AdoptCheckpoint(FoldContext& context,
                      LogOffset offset,
                      const CheckpointRecord& checkpoint) {
-  FoldState& state = folding.state;
+  FoldState& state = context.state;
   // Records between `through` and the first that this reader kept are unknown
   // to it; they may hold an accepted change.
-  if (checkpoint.through < state.pending_floor || checkpoint.through >= offset)
+  if (checkpoint.through < state.pending_after || checkpoint.through >= offset)
     return false;
   if (checkpoint.version == 0 || checkpoint.version > checkpoint.through ||
       checkpoint.version < state.head) {
     return false;
   }
-  if (CheckResult(checkpoint.document, checkpoint.digest).reason !=
+  if (CheckNewDocument(checkpoint.document, checkpoint.digest).reason !=
       FoldReason::kAccepted) {
     return false;
   }
   if (checkpoint.version > state.head) {
-    Replace(folding, checkpoint.version, checkpoint.publish_id,
-            checkpoint.digest, checkpoint.document);
+    ReplaceDocument(context, checkpoint.version, checkpoint.publish_id,
+                    checkpoint.digest, checkpoint.document);
   }
-  TakeOutcomes(state, checkpoint.outcomes, checkpoint.outcomes_since);
+  AdoptOutcomes(state, checkpoint.outcomes, checkpoint.outcomes_since);
   state.checkpoint_offset = offset;
   state.checkpoint_written_at = checkpoint.written_at;
   state.changes_since_checkpoint = 0;
--- a/src/config/judge.h
+++ b/src/config/judge.h
@@ -9,32 +9,32 @@
 namespace teaselspread {
 
 // The state during one call of Fold, and how far its head has come.
-struct Folding {
+struct FoldContext {
   FoldState& state;
   std::optional<VersionStep> step = {};
 };
 
 // Precondition of all: state.is_current, but for AdoptCheckpoint.
 // Not thread safe for one state.
-[[nodiscard]] FoldReason JudgeChange(Folding& folding,
+[[nodiscard]] FoldReason JudgeChange(FoldContext& context,
                                      LogOffset offset,
                                      const ChangeRecord& change);
 
-[[nodiscard]] FoldReason JudgeOrigin(Folding& folding,
+[[nodiscard]] FoldReason JudgeOrigin(FoldContext& context,
                                      LogOffset offset,
                                      const OriginRecord& origin);
 
-[[nodiscard]] FoldReason SeeCheckpoint(FoldState& state,
-                                       LogOffset offset,
-                                       const CheckpointRecord& checkpoint);
+[[nodiscard]] FoldReason JudgeCheckpoint(FoldState& state,
+                                         LogOffset offset,
+                                         const CheckpointRecord& checkpoint);
 
 // Whether the origin counts. This depends on the record and its offset alone,
 // since readers that started at different places must agree. Thread safe.
-[[nodiscard]] bool IsGoodOrigin(LogOffset offset, const OriginRecord& origin);
+[[nodiscard]] bool IsValidOrigin(LogOffset offset, const OriginRecord& origin);
 
 // Puts the checkpoint's state in force and makes the state current, or returns
 // false and changes nothing. Precondition: !state.is_current.
-[[nodiscard]] bool AdoptCheckpoint(Folding& folding,
+[[nodiscard]] bool AdoptCheckpoint(FoldContext& context,
                                    LogOffset offset,
                                    const CheckpointRecord& checkpoint);
 
--- a/src/config/publish.cc
+++ b/src/config/publish.cc
@@ -7,59 +7,62 @@
 namespace {
 
 // A third of the retention leaves two more tries before the oldest expires.
-constexpr int kAgeShare = 3;
+constexpr int kMaxAgeDivisor = 3;
 // A reader that lacks older outcomes leaves it to the others, while there is
 // time: who starts from its checkpoint could not say what became of an older
 // publish.
-constexpr int kReluctantAgeParts = 2;
+constexpr int kMissingOutcomesAgeFactor = 2;
 // A reader that does not know whether there is a checkpoint writes within this
 // part of the retention.
-constexpr int kUnsureAgeShare = 12;
+constexpr int kUnknownCheckpointDivisor = 12;
 // While the newest checkpoint's writer seems to live in the future, its age is
 // unknown; a clock that runs ahead must not hold back the next checkpoint.
-constexpr int kDoubtfulAgeShare = 12;
+constexpr int kUnknownAgeDivisor = 12;
 
-bool IsOld(const CheckpointRule& rule,
-           const FoldState& state,
-           TimePoint watched_since,
-           TimePoint now) {
-  const int parts = state.outcomes_since == 0 ? 1 : kReluctantAgeParts;
-  const Duration seen = now - watched_since;
+bool IsCheckpointOld(const CheckpointRule& rule,
+                     const FoldState& state,
+                     TimePoint watched_since,
+                     TimePoint now) {
+  const int factor = state.outcomes_since == 0 ? 1 : kMissingOutcomesAgeFactor;
+  const Duration watched_for = now - watched_since;
   if (state.checkpoint_written_at > now)
-    return seen > parts * (rule.retention / kDoubtfulAgeShare);
+    return watched_for > factor * (rule.retention / kUnknownAgeDivisor);
   return now - state.checkpoint_written_at >
-         parts * (rule.retention / kAgeShare);
+         factor * (rule.retention / kMaxAgeDivisor);
 }
 
-bool IsWanted(const CheckpointRule& rule,
-              const FoldState& state,
-              const CheckpointTimer& timer,
-              TimePoint now) {
+bool IsCheckpointWanted(const CheckpointRule& rule,
+                        const FoldState& state,
+                        const CheckpointTimer& timer,
+                        TimePoint now) {
   if (!state.is_current || state.head == 0 || timer.is_behind)
     return false;
   // The records may be about to expire, for all that a fresh reader knows.
   if (state.checkpoint_offset == 0)
     return true;
-  const bool is_reluctant = state.outcomes_since != 0;
-  return (state.changes_since_checkpoint >= rule.changes && !is_reluctant) ||
-         IsOld(rule, state, timer.watched_since.value_or(now), now);
+  const bool lacks_outcomes = state.outcomes_since != 0;
+  return (state.changes_since_checkpoint >= rule.max_changes &&
+          !lacks_outcomes) ||
+         IsCheckpointOld(rule, state, timer.watched_since.value_or(now), now);
 }
 
-Duration RandomUpTo(Duration most, Rng& rng) {
-  std::uniform_int_distribution<Duration::rep> wait(0, most.count());
-  return Duration(wait(rng));
+Duration RandomUpTo(Duration limit, Rng& rng) {
+  std::uniform_int_distribution<Duration::rep> delay(0, limit.count());
+  return Duration(delay(rng));
 }
 
 // A reader that took its state from a peer knows of no checkpoint, though there
 // most likely is one. Writing at once, each change of readers would cost a
 // checkpoint; waiting for a fixed time, readers that change often would never
 // write one. A time at random does neither.
-Duration FirstWait(const CheckpointRule& rule,
-                   const FoldState& state,
-                   Rng& rng) {
-  const bool is_unsure =
+Duration FirstDelay(const CheckpointRule& rule,
+                    const FoldState& state,
+                    Rng& rng) {
+  const bool is_checkpoint_unknown =
       state.checkpoint_offset == 0 && state.outcomes_since != 0;
-  return RandomUpTo(is_unsure ? rule.retention / kUnsureAgeShare : rule.spread,
+  return RandomUpTo(is_checkpoint_unknown
+                        ? rule.retention / kUnknownCheckpointDivisor
+                        : rule.max_write_delay,
                     rng);
 }
 
@@ -103,20 +106,21 @@
                    CheckpointTimer& timer,
                    TimePoint now,
                    Rng& rng) {
-  if (!timer.watched_since || timer.watched != state.checkpoint_offset) {
-    timer.watched = state.checkpoint_offset;
+  if (!timer.watched_since || timer.watched_offset != state.checkpoint_offset) {
+    timer.watched_offset = state.checkpoint_offset;
     timer.watched_since = now;
     timer.write_at.reset();
   }
-  if (!IsWanted(rule, state, timer, now)) {
+  if (!IsCheckpointWanted(rule, state, timer, now)) {
     timer.write_at.reset();
     return false;
   }
   if (!timer.write_at)
-    timer.write_at = now + FirstWait(rule, state, rng);
+    timer.write_at = now + FirstDelay(rule, state, rng);
   if (now < *timer.write_at)
     return false;
-  timer.write_at = now + rule.spread + RandomUpTo(rule.spread, rng);
+  timer.write_at =
+      now + rule.max_write_delay + RandomUpTo(rule.max_write_delay, rng);
   return true;
 }
 
--- a/src/config/record.cc
+++ b/src/config/record.cc
@@ -9,8 +9,8 @@
 namespace teaselspread {
 namespace {
 
-enum class Kind : std::uint8_t { kChange, kCheckpoint, kOrigin, kOpaque };
-enum class Content : std::uint8_t { kDelta, kFull };
+enum class RecordKind : std::uint8_t { kChange, kCheckpoint, kOrigin, kOpaque };
+enum class ContentKind : std::uint8_t { kDelta, kFull };
 
 void SaveDigest(OutputArchive& archive, const Digest& digest) {
   archive(digest.high, digest.low);
@@ -80,21 +80,21 @@
 struct BodyWriter {
   OutputArchive& archive;
 
-  Kind operator()(const ChangeRecord& record) const {
+  RecordKind operator()(const ChangeRecord& record) const {
     SaveText(this->archive, record.publish_id);
     this->archive(record.parent);
     SaveDigest(this->archive, record.digest);
     if (const auto* delta = std::get_if<Delta>(&record.content)) {
-      this->archive(static_cast<std::uint8_t>(Content::kDelta));
+      this->archive(static_cast<std::uint8_t>(ContentKind::kDelta));
       SaveDelta(this->archive, *delta);
     } else {
-      this->archive(static_cast<std::uint8_t>(Content::kFull));
+      this->archive(static_cast<std::uint8_t>(ContentKind::kFull));
       SaveLeaves(this->archive, std::get<Document>(record.content).leaves);
     }
-    return Kind::kChange;
+    return RecordKind::kChange;
   }
 
-  Kind operator()(const CheckpointRecord& record) const {
+  RecordKind operator()(const CheckpointRecord& record) const {
     this->archive(record.version);
     SaveText(this->archive, record.publish_id);
     SaveDigest(this->archive, record.digest);
@@ -104,22 +104,22 @@
     SaveLeaves(this->archive, record.document.leaves);
     SaveOutcomes(this->archive, record.outcomes);
     this->archive(record.outcomes_since);
-    return Kind::kCheckpoint;
+    return RecordKind::kCheckpoint;
   }
 
-  Kind operator()(const OriginRecord& record) const {
+  RecordKind operator()(const OriginRecord& record) const {
     SaveText(this->archive, record.publish_id);
     this->archive(record.through);
     SaveDigest(this->archive, record.digest);
     SaveLeaves(this->archive, record.document.leaves);
     SaveOutcomes(this->archive, record.outcomes);
-    return Kind::kOrigin;
+    return RecordKind::kOrigin;
   }
 
-  Kind operator()(const OpaqueRecord& record) const {
+  RecordKind operator()(const OpaqueRecord& record) const {
     SaveText(this->archive, record.kind);
     SaveText(this->archive, record.bytes);
-    return Kind::kOpaque;
+    return RecordKind::kOpaque;
   }
 };
 
@@ -130,9 +130,9 @@
   LoadDigest(archive, record.digest);
   std::uint8_t content = 0;
   archive(content);
-  if (content == static_cast<std::uint8_t>(Content::kDelta)) {
+  if (content == static_cast<std::uint8_t>(ContentKind::kDelta)) {
     LoadDelta(archive, record.content.emplace<Delta>());
-  } else if (content == static_cast<std::uint8_t>(Content::kFull)) {
+  } else if (content == static_cast<std::uint8_t>(ContentKind::kFull)) {
     LoadLeaves(archive, record.content.emplace<Document>().leaves);
   } else {
     throw cereal::Exception("no such content");
@@ -172,15 +172,15 @@
 }
 
 // Throws cereal::Exception on bytes that do not fit.
-LogRecord LoadBody(Kind kind, InputArchive& archive) {
+LogRecord LoadBody(RecordKind kind, InputArchive& archive) {
   switch (kind) {
-    case Kind::kChange:
+    case RecordKind::kChange:
       return LoadChange(archive);
-    case Kind::kCheckpoint:
+    case RecordKind::kCheckpoint:
       return LoadCheckpoint(archive);
-    case Kind::kOrigin:
+    case RecordKind::kOrigin:
       return LoadOrigin(archive);
-    case Kind::kOpaque:
+    case RecordKind::kOpaque:
       return LoadOpaque(archive);
   }
   throw cereal::Exception("no such kind");
@@ -190,7 +190,7 @@
 
 std::string EncodeRecord(const LogRecord& record) {
   std::ostringstream stream;
-  Kind kind = Kind::kOpaque;
+  RecordKind kind = RecordKind::kOpaque;
   {
     OutputArchive archive(stream);
     kind = std::visit(BodyWriter{archive}, record);
@@ -211,7 +211,7 @@
   try {
     std::istringstream stream{std::string(frame->body)};
     InputArchive archive(stream);
-    return LoadBody(static_cast<Kind>(frame->kind), archive);
+    return LoadBody(static_cast<RecordKind>(frame->kind), archive);
   } catch (const std::exception& error) {
     return Fail(ErrorKind::kFrameMalformed, error.what());
   }
--- a/tests/contract/config_fold_fault_test.cc
+++ b/tests/contract/config_fold_fault_test.cc
@@ -17,15 +17,15 @@
   return document;
 }
 
-FoldResult Take(FoldState& state, const LogRecord& record) {
+FoldResult FoldNext(FoldState& state, const LogRecord& record) {
   return Fold(state, state.position + 1, EncodeRecord(record));
 }
 
 // Versions 1 and 2 are accepted.
-FoldState AtVersionTwo() {
+FoldState StateAtVersionTwo() {
   FoldState state;
-  Take(state, MakeChange(state, DocumentWith("v1"), "one"));
-  Take(state, MakeChange(state, DocumentWith("v2"), "two"));
+  FoldNext(state, MakeChange(state, DocumentWith("v1"), "one"));
+  FoldNext(state, MakeChange(state, DocumentWith("v2"), "two"));
   return state;
 }
 
@@ -35,25 +35,27 @@
   FoldReason reason;
 };
 
-ChangeRecord Next(const FoldState& state, const std::string& id) {
+ChangeRecord NextChange(const FoldState& state, const std::string& id) {
   return MakeChange(state, DocumentWith("v3"), id);
 }
 
 template <class Change>
-std::function<LogRecord(const FoldState&)> But(Change change) {
+std::function<LogRecord(const FoldState&)> ModifiedChange(Change change) {
   return [change](const FoldState& state) {
-    ChangeRecord record = Next(state, "three");
+    ChangeRecord record = NextChange(state, "three");
     change(record);
     return LogRecord(record);
   };
 }
 
 const std::vector<FaultCase> kFaults = {
-    {"older parent", But([](auto& r) { r.parent = 1; }), FoldReason::kConflict},
-    {"no parent", But([](auto& r) { r.parent = 0; }), FoldReason::kConflict},
-    {"parent to come", But([](auto& r) { r.parent = 3; }),
+    {"older parent", ModifiedChange([](auto& r) { r.parent = 1; }),
      FoldReason::kConflict},
-    {"other digest", But([](auto& r) { ++r.digest.high; }),
+    {"no parent", ModifiedChange([](auto& r) { r.parent = 0; }),
+     FoldReason::kConflict},
+    {"parent to come", ModifiedChange([](auto& r) { r.parent = 3; }),
+     FoldReason::kConflict},
+    {"other digest", ModifiedChange([](auto& r) { ++r.digest.high; }),
      FoldReason::kDigestMismatch},
     {"repeated",
      [](const FoldState& state) {
@@ -63,15 +65,15 @@
        return one;
      },
      FoldReason::kDuplicate},
-    {"repeated and refused for another reason", But([](auto& r) {
+    {"repeated and refused for another reason", ModifiedChange([](auto& r) {
        r.publish_id = "one";
        ++r.digest.low;
      }),
      FoldReason::kDuplicate},
-    {"no publish_id", But([](auto& r) { r.publish_id = ""; }),
+    {"no publish_id", ModifiedChange([](auto& r) { r.publish_id = ""; }),
      FoldReason::kMalformed},
     {"endless publish_id",
-     But([](auto& r) { r.publish_id = std::string(1000, 'x'); }),
+     ModifiedChange([](auto& r) { r.publish_id = std::string(1000, 'x'); }),
      FoldReason::kMalformed},
     {"dangling route",
      [](const FoldState& state) {
@@ -127,8 +129,8 @@
 // would route to a service that it does not know.
 Test(config_fold_fault, a_refused_record_changes_nothing) {
   for (const FaultCase& fault : kFaults) {
-    FoldState state = AtVersionTwo();
-    const FoldResult result = Take(state, fault.record(state));
+    FoldState state = StateAtVersionTwo();
+    const FoldResult result = FoldNext(state, fault.record(state));
     cr_assert(result.reason == fault.reason, "%s: %s", fault.name,
               std::string(NameOf(result.reason)).c_str());
     cr_assert(!result.step.has_value(), "%s", fault.name);
@@ -139,15 +141,16 @@
         state.counters.at(static_cast<std::size_t>(fault.reason));
     cr_assert(counted == 1, "%s", fault.name);
     // The next good change is accepted all the same.
-    cr_assert(Take(state, Next(state, "four")).reason == FoldReason::kAccepted);
+    cr_assert(FoldNext(state, NextChange(state, "four")).reason ==
+              FoldReason::kAccepted);
   }
 }
 
 Test(config_fold_fault, a_conflict_names_the_winner) {
-  FoldState state = AtVersionTwo();
-  ChangeRecord late = Next(state, "late");
+  FoldState state = StateAtVersionTwo();
+  ChangeRecord late = NextChange(state, "late");
   late.parent = 1;
-  Take(state, late);
+  FoldNext(state, late);
   const PublishOutcome* outcome = FindOutcome(state, "late");
   cr_assert(outcome->reason == FoldReason::kConflict);
   cr_assert(outcome->head == 2 && outcome->head_publish_id == "two");
@@ -160,15 +163,15 @@
 Test(config_fold_fault, a_forgotten_publish_has_no_second_effect) {
   FoldState state;
   const ChangeRecord first = MakeChange(state, DocumentWith("v0"), "first");
-  Take(state, first);
-  for (int i = 1; i <= 2 * static_cast<int>(kOutcomesKept); ++i) {
-    Take(state, MakeChange(state, DocumentWith("v" + std::to_string(i)),
-                           "publish-" + std::to_string(i)));
+  FoldNext(state, first);
+  for (int i = 1; i <= 2 * static_cast<int>(kMaxOutcomes); ++i) {
+    FoldNext(state, MakeChange(state, DocumentWith("v" + std::to_string(i)),
+                               "publish-" + std::to_string(i)));
   }
-  cr_assert(state.outcomes.size() == kOutcomesKept);
+  cr_assert(state.outcomes.size() == kMaxOutcomes);
   cr_assert(FindOutcome(state, "first") == nullptr);
   const ConfigVersion head = state.head;
-  cr_assert(Take(state, first).reason == FoldReason::kConflict);
+  cr_assert(FoldNext(state, first).reason == FoldReason::kConflict);
   cr_assert(state.head == head);
 }
 
@@ -176,43 +179,44 @@
 // holds, without the outcomes of older publishes. Where a verdict depended on
 // what a reader remembers, the two would part for good.
 Test(config_fold_fault, verdicts_do_not_depend_on_what_is_remembered) {
-  FoldState all = AtVersionTwo();
-  ChangeRecord refused = Next(all, "again");
+  FoldState complete = StateAtVersionTwo();
+  ChangeRecord refused = NextChange(complete, "again");
   ++refused.digest.low;
-  Take(all, refused);
-  Take(all, Next(all, "four"));
-  FoldState taken = StateFromPeer(all.head, "four", all.document);
+  FoldNext(complete, refused);
+  FoldNext(complete, NextChange(complete, "four"));
+  FoldState from_peer = StateFromPeer(complete.head, "four", complete.document);
   const std::vector<LogRecord> records = {
-      MakeChange(all, DocumentWith("v5"), "again"), refused,
+      MakeChange(complete, DocumentWith("v5"), "again"), refused,
       ChangeRecord{"one", 0, DigestOf(DocumentWith("v1")), DocumentWith("v1")}};
   for (const LogRecord& record : records) {
-    Take(all, record);
-    Take(taken, record);
-    cr_assert(taken.head == all.head && taken.document == all.document);
+    FoldNext(complete, record);
+    FoldNext(from_peer, record);
+    cr_assert(from_peer.head == complete.head &&
+              from_peer.document == complete.document);
   }
-  cr_assert(all.head == 5 && FindOutcome(all, "again")->offset == 5);
+  cr_assert(complete.head == 5 && FindOutcome(complete, "again")->offset == 5);
   // It took the repeated append of "one" for the first, until it learnt better.
-  cr_assert(FindOutcome(taken, "one")->reason == FoldReason::kConflict);
-  Take(taken, MakeCheckpoint(all, TimePoint()));
-  cr_assert(taken.outcomes == all.outcomes && taken.outcomes_since == 0);
-  cr_assert(FindOutcome(taken, "one")->reason == FoldReason::kAccepted);
+  cr_assert(FindOutcome(from_peer, "one")->reason == FoldReason::kConflict);
+  FoldNext(from_peer, MakeCheckpoint(complete, TimePoint()));
+  cr_assert(from_peer.outcomes == complete.outcomes &&
+            from_peer.outcomes_since == 0);
+  cr_assert(FindOutcome(from_peer, "one")->reason == FoldReason::kAccepted);
 }
 
 // A slow reader writes a checkpoint of what it had read an hour ago. If others
 // took it for a new one, none would be written while the records that it needs
 // expire, and fresh readers would find nothing to start from.
-Test(config_fold_fault,
-     a_checkpoint_that_ends_long_before_its_place_is_no_news) {
-  FoldState state = AtVersionTwo();
+Test(config_fold_fault, a_checkpoint_far_behind_its_offset_is_unusable) {
+  FoldState state = StateAtVersionTwo();
   const CheckpointRecord slow =
       MakeCheckpoint(state, TimePoint(std::chrono::hours(5)));
   constexpr int kOthers = 2000;
   for (int i = 0; i < kOthers; ++i)
-    Take(state, OpaqueRecord{"verdict", ""});
-  cr_assert(Take(state, slow).reason == FoldReason::kCheckpointUnusable);
+    FoldNext(state, OpaqueRecord{"verdict", ""});
+  cr_assert(FoldNext(state, slow).reason == FoldReason::kCheckpointUnusable);
   cr_assert(state.checkpoint_offset == 0);
   const CheckpointRecord fresh = MakeCheckpoint(state, slow.written_at);
-  cr_assert(Take(state, fresh).reason == FoldReason::kCheckpointSeen);
+  cr_assert(FoldNext(state, fresh).reason == FoldReason::kCheckpointSeen);
   cr_assert(state.checkpoint_offset == state.position);
 }
 
@@ -220,37 +224,38 @@
 // expired. Judging on from its old head it would hold another configuration
 // than all others, for good.
 Test(config_fold_fault, a_gap_keeps_the_head_and_waits_for_a_checkpoint) {
-  FoldState all = AtVersionTwo();
-  FoldState paused = all;
-  Take(all, Next(all, "three"));
+  FoldState complete = StateAtVersionTwo();
+  FoldState paused = complete;
+  FoldNext(complete, NextChange(complete, "three"));
   SkipTo(paused, 4);
   cr_assert(!paused.is_current && paused.head == 2);
   const std::string fourth =
-      EncodeRecord(MakeChange(all, DocumentWith("v4"), "four"));
-  const std::string checkpoint = EncodeRecord(MakeCheckpoint(all, TimePoint()));
-  Fold(all, 4, fourth);
+      EncodeRecord(MakeChange(complete, DocumentWith("v4"), "four"));
+  const std::string checkpoint =
+      EncodeRecord(MakeCheckpoint(complete, TimePoint()));
+  Fold(complete, 4, fourth);
   cr_assert(Fold(paused, 4, fourth).reason == FoldReason::kPending);
   const FoldResult result = Fold(paused, 5, checkpoint);
   cr_assert(result.reason == FoldReason::kCheckpointAdopted);
   cr_assert(result.step->from == 2 && result.step->to == 4);
-  cr_assert(paused.document == all.document && paused.is_current);
+  cr_assert(paused.document == complete.document && paused.is_current);
 }
 
 // Every reader was away and the log has lost all that it held. The operator's
 // new beginning must count for those that remember and those that do not.
-Test(config_fold_fault, an_origin_begins_anew_above_every_older_version) {
-  FoldState remembers = AtVersionTwo();
+Test(config_fold_fault, an_origin_is_accepted_above_every_older_version) {
+  FoldState resumed = StateAtVersionTwo();
   FoldState fresh;
-  SkipTo(remembers, 50);
+  SkipTo(resumed, 50);
   SkipTo(fresh, 50);
   const std::string origin =
       EncodeRecord(MakeOrigin(fresh, DocumentWith("v9"), "anew"));
-  for (FoldState* state : {&remembers, &fresh}) {
+  for (FoldState* state : {&resumed, &fresh}) {
     cr_assert(Fold(*state, 50, origin).reason == FoldReason::kAccepted);
     cr_assert(state->is_current && state->head == 50);
     cr_assert(state->document == DocumentWith("v9"));
   }
-  cr_assert(remembers.outcomes == fresh.outcomes);
+  cr_assert(resumed.outcomes == fresh.outcomes);
 }
 
 }  // namespace
--- a/tests/contract/config_history_test.cc
+++ b/tests/contract/config_history_test.cc
@@ -21,7 +21,7 @@
 const CheckpointRule kRule = {std::chrono::seconds(60), std::chrono::seconds(2),
                               16};
 
-struct Entry {
+struct LogEntry {
   std::string bytes;
   TimePoint at;
 };
@@ -29,7 +29,7 @@
 // The platform's log. Offsets count from 1; what is older than the retention
 // cannot be read any more.
 struct FakeLog {
-  std::vector<Entry> entries;
+  std::vector<LogEntry> entries;
   LogOffset first = 1;
 
   void Append(std::string bytes, TimePoint now) {
@@ -48,7 +48,7 @@
   FoldState state;
   CheckpointTimer timer;
   // A reader that is asleep reads nothing.
-  bool is_asleep = false;
+  bool is_paused = false;
 };
 
 // A publish of which no answer came.
@@ -88,7 +88,7 @@
 }
 
 // Adds, changes or removes a service or a route; the result may be invalid.
-Document Edited(World& world, Document document) {
+Document EditedDocument(World& world, Document document) {
   if (document.leaves.empty())
     document = BaseDocument();
   const std::string number = std::to_string(world.rng() % 4);
@@ -118,7 +118,7 @@
   return document;
 }
 
-void CheckNothingDangles(const World& world, const FoldState& state) {
+void CheckRoutesHaveServices(const World& world, const FoldState& state) {
   for (const std::string& name : DataCentersOf(state.document)) {
     const auto snapshot = Render(state.document, name, state.head);
     cr_assert(snapshot.has_value(), "seed %lu", world.seed);
@@ -162,13 +162,13 @@
     return;
   cr_assert(world.oracle.head == offset);
   CheckAccepted(world, bytes);
-  CheckNothingDangles(world, world.oracle);
+  CheckRoutesHaveServices(world, world.oracle);
 }
 
-void Read(World& world, Reader& reader, std::size_t most) {
+void Read(World& world, Reader& reader, std::size_t max_records) {
   SkipTo(reader.state, world.log.first);
   const LogOffset last = world.log.entries.size();
-  while (most-- > 0 && reader.state.position < last)
+  while (max_records-- > 0 && reader.state.position < last)
     FoldChecked(world, reader.state, reader.state.position + 1);
 }
 
@@ -193,10 +193,11 @@
       FindOutcome(publisher.reader.state, publisher.publish_id);
   if (seen == nullptr)
     return;
-  const PublishOutcome* truth = FindOutcome(world.oracle, publisher.publish_id);
-  if (truth != nullptr && *seen != *truth) {
+  const PublishOutcome* expected =
+      FindOutcome(world.oracle, publisher.publish_id);
+  if (expected != nullptr && *seen != *expected) {
     bool has_origin = false;
-    for (LogOffset at = seen->offset + 1; at < truth->offset; ++at)
+    for (LogOffset at = seen->offset + 1; at < expected->offset; ++at)
       has_origin = has_origin || IsOrigin(world, at);
     cr_assert(has_origin, "seed %lu", world.seed);
   }
@@ -207,9 +208,9 @@
   publisher.bytes.clear();
 }
 
-std::string RecordOf(World& world, Publisher& publisher) {
+std::string EncodedPublish(World& world, Publisher& publisher) {
   const FoldState& state = publisher.reader.state;
-  const Document to = Edited(world, state.document);
+  const Document to = EditedDocument(world, state.document);
   const std::string& id = publisher.publish_id;
   if (Chance(world, state.is_current ? 2 : 20))
     return EncodeRecord(MakeOrigin(state, to, id));
@@ -224,7 +225,7 @@
 void Publish(World& world, Publisher& publisher) {
   if (publisher.bytes.empty()) {
     publisher.publish_id = "publish-" + std::to_string(++world.publishes);
-    publisher.bytes = RecordOf(world, publisher);
+    publisher.bytes = EncodedPublish(world, publisher);
   }
   if (Chance(world, 80))
     world.in_flight.push_back(publisher.bytes);
@@ -257,7 +258,7 @@
     if (Chance(world, 2))
       Replace(world, reader);
     if (Chance(world, 4))
-      reader.is_asleep = !reader.is_asleep;
+      reader.is_paused = !reader.is_paused;
   }
 }
 
@@ -272,7 +273,7 @@
       Publish(world, publisher);
   }
   for (Reader& reader : world.readers) {
-    if (reader.is_asleep)
+    if (reader.is_paused)
       continue;
     Read(world, reader, world.rng() % 8);
     WriteCheckpointIfDue(world, reader);
@@ -280,21 +281,21 @@
   DeliverSome(world);
 }
 
-void CheckSame(const World& world, const FoldState& state) {
-  const FoldState& truth = world.oracle;
-  cr_assert(state.position == truth.position, "seed %lu", world.seed);
-  cr_assert(state.head == truth.head, "seed %lu: %lu, not %lu", world.seed,
-            state.head, truth.head);
-  cr_assert(state.head_publish_id == truth.head_publish_id);
-  cr_assert(state.digest == truth.digest, "seed %lu", world.seed);
-  cr_assert(state.document == truth.document, "seed %lu", world.seed);
+void CheckMatchesOracle(const World& world, const FoldState& state) {
+  const FoldState& expected = world.oracle;
+  cr_assert(state.position == expected.position, "seed %lu", world.seed);
+  cr_assert(state.head == expected.head, "seed %lu: %lu, not %lu", world.seed,
+            state.head, expected.head);
+  cr_assert(state.head_publish_id == expected.head_publish_id);
+  cr_assert(state.digest == expected.digest, "seed %lu", world.seed);
+  cr_assert(state.document == expected.document, "seed %lu", world.seed);
   if (state.outcomes_since == 0)
-    cr_assert(state.outcomes == truth.outcomes, "seed %lu", world.seed);
+    cr_assert(state.outcomes == expected.outcomes, "seed %lu", world.seed);
 }
 
 // A reader that starts at any place still in the log either knows that it
 // cannot judge, or stands where all others stand.
-void CheckSomeStarts(World& world) {
+void CheckLateReaders(World& world) {
   const LogOffset last = world.log.entries.size();
   for (LogOffset first = world.log.first; first <= last;
        first += 1 + world.rng() % 16) {
@@ -302,7 +303,7 @@
     SkipTo(reader.state, first);
     Read(world, reader, world.log.entries.size());
     if (reader.state.is_current)
-      CheckSame(world, reader.state);
+      CheckMatchesOracle(world, reader.state);
   }
 }
 
@@ -310,24 +311,25 @@
 // checkpoints, and a fresh one must find its way.
 void CheckRecovery(World& world) {
   world.in_flight.clear();
-  Reader steady;
-  steady.state = world.oracle;
+  Reader complete;
+  complete.state = world.oracle;
   for (int i = 0; i < 60; ++i) {
     world.now += std::chrono::seconds(2);
     world.log.Expire(world.now);
-    Read(world, steady, world.log.entries.size());
-    if (CheckpointDue(kRule, steady.state, steady.timer, world.now, world.rng))
-      Append(world, EncodeRecord(MakeCheckpoint(steady.state, world.now)));
+    Read(world, complete, world.log.entries.size());
+    if (CheckpointDue(kRule, complete.state, complete.timer, world.now,
+                      world.rng))
+      Append(world, EncodeRecord(MakeCheckpoint(complete.state, world.now)));
   }
   for (Reader& reader : world.readers) {
     Read(world, reader, world.log.entries.size());
     cr_assert(reader.state.is_current, "seed %lu", world.seed);
-    CheckSame(world, reader.state);
+    CheckMatchesOracle(world, reader.state);
   }
   Reader fresh;
   Read(world, fresh, world.log.entries.size());
   cr_assert(fresh.state.is_current, "seed %lu", world.seed);
-  CheckSame(world, fresh.state);
+  CheckMatchesOracle(world, fresh.state);
 }
 
 struct Totals {
@@ -344,7 +346,7 @@
   World world(seed);
   for (int step = 0; step < kSteps; ++step)
     Step(world);
-  CheckSomeStarts(world);
+  CheckLateReaders(world);
   if (world.oracle.head != 0)
     CheckRecovery(world);
   totals.accepted += CountOf(world.oracle, FoldReason::kAccepted);
@@ -362,24 +364,25 @@
   for (std::uint64_t seed = part; seed < kSeeds; seed += kParts)
     RunHistory(seed, totals);
   // The histories were worth checking.
-  constexpr std::uint64_t kOfPart = kSeeds / kParts;
-  cr_assert(totals.accepted > 10 * kOfPart && totals.conflicts > 10 * kOfPart &&
-                totals.adopted > kOfPart,
+  constexpr std::uint64_t kSeedsPerPart = kSeeds / kParts;
+  cr_assert(totals.accepted > 10 * kSeedsPerPart &&
+                totals.conflicts > 10 * kSeedsPerPart &&
+                totals.adopted > kSeedsPerPart,
             "%lu accepted, %lu conflicts, %lu adopted", totals.accepted,
             totals.conflicts, totals.adopted);
 }
 
 // Criterion runs tests side by side: four parts take a quarter of the time.
-Test(config_history, racing_operators_leave_one_truth_0) {
+Test(config_history, concurrent_publishes_converge_0) {
   RunHistories(0);
 }
-Test(config_history, racing_operators_leave_one_truth_1) {
+Test(config_history, concurrent_publishes_converge_1) {
   RunHistories(1);
 }
-Test(config_history, racing_operators_leave_one_truth_2) {
+Test(config_history, concurrent_publishes_converge_2) {
   RunHistories(2);
 }
-Test(config_history, racing_operators_leave_one_truth_3) {
+Test(config_history, concurrent_publishes_converge_3) {
   RunHistories(3);
 }
 
--- a/tests/contract/config_move_test.cc
+++ b/tests/contract/config_move_test.cc
@@ -39,7 +39,9 @@
 }
 
 // Moves the entry of one prefix to another.
-void Rename(Leaves& leaves, const std::string& from, const std::string& to) {
+void RenamePrefix(Leaves& leaves,
+                  const std::string& from,
+                  const std::string& to) {
   Leaves renamed;
   for (const auto& [path, value] : leaves) {
     if (path.starts_with(from))
@@ -62,7 +64,7 @@
      [](Leaves& leaves) { leaves["overlay/bole/moves/m1/to"] = "v3"; }, false},
     {"the same id for another move in an overlay",
      [](Leaves& leaves) {
-       Rename(leaves, "base/moves/m1/", "overlay/bole/moves/m1/");
+       RenamePrefix(leaves, "base/moves/m1/", "overlay/bole/moves/m1/");
        leaves["overlay/bole/moves/m1/to"] = "v3";
      },
      false},
@@ -96,7 +98,7 @@
      true},
     {"another id",
      [](Leaves& leaves) {
-       Rename(leaves, "base/moves/m1/", "base/moves/m2/");
+       RenamePrefix(leaves, "base/moves/m1/", "base/moves/m2/");
        leaves["base/moves/m2/to"] = "v3";
      },
      true},
@@ -118,9 +120,9 @@
     cr_assert(valid.has_value() == edit.accepted, "%s", edit.name);
     const FoldResult result =
         Fold(state, 2, EncodeRecord(MakeChange(state, after, "two")));
-    const FoldReason wanted =
+    const FoldReason expected =
         edit.accepted ? FoldReason::kAccepted : FoldReason::kInvalid;
-    cr_assert(result.reason == wanted, "%s: %s", edit.name,
+    cr_assert(result.reason == expected, "%s: %s", edit.name,
               FindOutcome(state, "two")->message.c_str());
     cr_assert(state.document == (edit.accepted ? after : *before));
   }
--- a/tests/contract/config_record_test.cc
+++ b/tests/contract/config_record_test.cc
@@ -10,8 +10,8 @@
 namespace teaselspread {
 namespace {
 
-std::string RandomText(Rng& rng, std::size_t most) {
-  std::string text(rng() % (most + 1), '\0');
+std::string RandomText(Rng& rng, std::size_t max_size) {
+  std::string text(rng() % (max_size + 1), '\0');
   for (char& c : text)
     c = static_cast<char>(rng());
   return text;
--- a/tests/unit/checkpoint_rule_test.cc
+++ b/tests/unit/checkpoint_rule_test.cc
@@ -44,7 +44,7 @@
 
 Test(checkpoint_rule, many_changes_make_one_due) {
   FoldState state = WithCheckpoint(kStart);
-  state.changes_since_checkpoint = kRule.changes;
+  state.changes_since_checkpoint = kRule.max_changes;
   cr_assert(DueWithin(state, kStart, seconds(6)));
 }
 
@@ -61,15 +61,15 @@
   state.is_current = false;
   cr_assert(!DueWithin(state, kStart + hours(20), seconds(20)));
   cr_assert(!DueWithin(FoldState(), kStart, seconds(20)));
-  CheckpointTimer behind;
-  behind.is_behind = true;
-  cr_assert(!DueWithin(WithCheckpoint(kStart), behind, kStart + hours(20),
+  CheckpointTimer timer;
+  timer.is_behind = true;
+  cr_assert(!DueWithin(WithCheckpoint(kStart), timer, kStart + hours(20),
                        seconds(20)));
 }
 
 // A writer's clock runs a day ahead. Its checkpoint would look young until the
 // log has dropped it, and late readers would find nothing to start from.
-Test(checkpoint_rule, a_clock_that_runs_ahead_holds_nothing_back) {
+Test(checkpoint_rule, a_writer_clock_that_runs_ahead_delays_nothing) {
   const FoldState state = WithCheckpoint(kStart + hours(24));
   CheckpointTimer timer;
   cr_assert(!DueWithin(state, timer, kStart, hours(2)));
@@ -78,7 +78,7 @@
 
 // Many readers see the same checkpoint grow old at the same moment. Writing all
 // at once they would flood a log that takes several hundred appends a second.
-Test(checkpoint_rule, one_of_many_writers_spares_the_others) {
+Test(checkpoint_rule, one_write_suffices_for_many_writers) {
   FoldState state = WithCheckpoint(kStart);
   constexpr int kWriters = 40;
   std::vector<CheckpointTimer> timers(kWriters);
@@ -104,7 +104,7 @@
 // VMs are replaced all day long, and each new reader goes on from what a peer
 // holds. If each left it to the next, the last checkpoint would expire while
 // all looks well, and no operator could publish any more.
-Test(checkpoint_rule, readers_that_change_often_still_write) {
+Test(checkpoint_rule, readers_that_are_replaced_often_still_write) {
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
     Rng rng(seed);
     FoldState state = WithCheckpoint(TimePoint());
@@ -131,7 +131,7 @@
 
 // The log fails for a while. A reader that tried without a pause would be in
 // the way of its recovery; one that gave up would let the retention pass.
-Test(checkpoint_rule, a_lost_append_is_tried_again_at_a_bounded_pace) {
+Test(checkpoint_rule, a_lost_append_is_retried_at_a_bounded_rate) {
   const FoldState state = WithCheckpoint(kStart);
   CheckpointTimer timer;
   Rng rng(2);
