--- a/include/teaselspread/config_log.h
+++ b/include/teaselspread/config_log.h
@@ -1,11 +1,11 @@
-// The configuration's records in the platform's log, and the fold over them.
+// Configuration records in the platform's log and the fold that replays them.
 //
-// A change is accepted if its parent is the accepted head at its place in the
-// log and if it validates. Every reader folds the same records, so that every
-// reader comes to the same verdict without a lock, a lease or a leader.
+// A change is accepted if it is valid and its parent is the accepted head at
+// the change's offset. Every reader folds the same records in the same order
+// and so reaches the same verdicts without a lock, a lease or a leader.
 //
-// Offsets count from 1 and have no gaps; version 0 means "none yet". A log that
-// counts from 0 has to be mapped by its client.
+// Offsets start at 1 and have no gaps; version 0 means "none yet". The client
+// of a log whose offsets start at 0 has to map them.
 #ifndef TEASELSPREAD_CONFIG_LOG_H_
 #define TEASELSPREAD_CONFIG_LOG_H_
 
@@ -27,30 +27,30 @@
 
 using LogOffset = std::uint64_t;
 
-// What became of a record. Each reason has a counter.
+// The verdict on a record. Each one has a counter.
 enum class FoldReason : std::uint8_t {
   // Accepted: the record's offset is the new version.
   kAccepted,
-  // Changes that were refused, for good.
+  // Changes that are refused permanently.
   kConflict,
   kDigestMismatch,
   kInvalid,
-  // Refused, and the publish_id stood in the log before: its first verdict
-  // holds. The second copy of an accepted change always ends here, since its
-  // parent is no longer the head.
+  // Refused, and its publish_id already has a verdict, which stays valid. A
+  // second copy of an accepted change is always refused, since its parent is no
+  // longer the head.
   kDuplicate,
   // Checkpoints.
   kCheckpointAdopted,
   kCheckpointSeen,
   kCheckpointUnusable,
-  // Not yet to be judged: no checkpoint reaches back far enough. The record is
-  // kept and judged once a checkpoint comes.
+  // Cannot be judged yet, since the accepted head is unknown. The record is
+  // stored and judged once a checkpoint is adopted.
   kPending,
-  // Nothing to do with the configuration.
+  // A record of another module.
   kOpaque,
   kMalformed,
-  // Written by a newer release: this reader stops judging until a checkpoint
-  // that it can read comes, since it cannot know what the record changed.
+  // Written by a newer release. What it changed is unknown, so this reader
+  // stops judging until it adopts a checkpoint that it can read.
   kUnknownFormat,
   kAlreadyFolded,
   kCount,
@@ -59,13 +59,13 @@
 // Stable name for counters and tables, such as "conflict". Thread safe.
 [[nodiscard]] std::string_view NameOf(FoldReason reason);
 
-// The verdict on one publish_id, kept so that a publisher whose append was
-// answered by silence finds what became of it.
+// The verdict on one publish_id, stored so that a publisher that received no
+// response to its append can look it up.
 struct PublishOutcome {
   std::string publish_id;
   LogOffset offset = 0;
   FoldReason reason = FoldReason::kAccepted;
-  // The accepted head just after this record: for kConflict the winner.
+  // The accepted head after this record; for kConflict, the change that won.
   ConfigVersion head = 0;
   std::string head_publish_id;
   // One line for the operator; empty if accepted.
@@ -74,11 +74,11 @@
   bool operator==(const PublishOutcome&) const = default;
 };
 
-// One publish. With `parent` 0 it starts from an empty document.
+// One publish. `parent` 0 stands for an empty document.
 struct ChangeRecord {
   std::string publish_id;
   ConfigVersion parent = 0;
-  // Of the document that results.
+  // Of the resulting document.
   Digest digest;
   std::variant<Delta, Document> content;
 
@@ -86,28 +86,28 @@
 };
 
 // The accepted state up to `through`, for readers that start later. Several
-// readers may append the same one; that does no harm.
+// readers may append the same checkpoint without harm.
 struct CheckpointRecord {
   ConfigVersion version = 0;
   std::string publish_id;
   Digest digest;
-  // Last offset that the writer had folded.
+  // The last offset that its writer had folded.
   LogOffset through = 0;
-  // Writer's clock.
+  // By the writer's clock.
   TimePoint written_at;
   Document document;
   std::vector<PublishOutcome> outcomes;
-  // As in FoldState.
+  // See FoldState::outcomes_since.
   LogOffset outcomes_since = 0;
 
   bool operator==(const CheckpointRecord&) const = default;
 };
 
-// An operator's new beginning, when the log has lost every checkpoint. It needs
-// no parent, but counts only if it lands right behind `through`, the last
-// record that its publisher saw: whatever raced with it makes it void. Every
-// reader then keeps the publisher's outcomes, so that all keep the same; a
-// verdict that the publisher did not know is forgotten.
+// A full document with which an operator restarts the configuration after the
+// log has lost every checkpoint. It has no parent, but is accepted only if it
+// directly follows `through`, the last record that its publisher read; a record
+// appended in between makes it void. Every reader then adopts the publisher's
+// outcomes, so that all hold the same; verdicts unknown to it are dropped.
 struct OriginRecord {
   std::string publish_id;
   LogOffset through = 0;
@@ -118,7 +118,7 @@
   bool operator==(const OriginRecord&) const = default;
 };
 
-// Bytes of another module on the same log; the fold passes over them.
+// A record of another module in the same log; the fold ignores it.
 struct OpaqueRecord {
   std::string kind;
   std::string bytes;
@@ -129,15 +129,15 @@
 using LogRecord =
     std::variant<ChangeRecord, CheckpointRecord, OriginRecord, OpaqueRecord>;
 
-// Bytes of `record`, with format version and checksum. Thread safe.
+// Serializes `record`, with format version and checksum. Thread safe.
 [[nodiscard]] std::string EncodeRecord(const LogRecord& record);
 
-// Fails with kFrameMalformed for bytes that are no record, and with
-// kFrameVersion for a record of a newer format. Never throws, whatever the
-// bytes, and needs memory in step with their number only. Thread safe.
+// Fails with kFrameMalformed for bytes that are not a record, and with
+// kFrameVersion for a record of another format. Never throws, whatever the
+// bytes; memory use is proportional to their number. Thread safe.
 [[nodiscard]] Result<LogRecord> DecodeRecord(std::string_view bytes);
 
-// Outcomes that the fold keeps.
+// Number of outcomes that the fold keeps.
 inline constexpr std::size_t kMaxOutcomes = 256;
 
 // A record that waits for a checkpoint.
@@ -146,31 +146,31 @@
   std::string bytes;
 };
 
-// The fold's whole state. Not thread safe: one thread folds.
+// The complete state of the fold. Not thread safe: one thread folds.
 struct FoldState {
-  // Whether `head` is the accepted head at `position`. It is before the first
-  // record; a reader that began in the middle of the log or missed records is
-  // not current until a checkpoint comes.
+  // Whether `head` is the accepted head at `position`. True before the first
+  // record; false after a reader started in the middle of the log or missed
+  // records, until it adopts a checkpoint.
   bool is_current = true;
   ConfigVersion head = 0;
   std::string head_publish_id;
   Digest digest;
   Document document;
-  // Last record folded; 0 before the first.
+  // Offset of the last folded record; 0 before the first.
   LogOffset position = 0;
-  // Oldest first. Whether a change is accepted never depends on them.
+  // Oldest first. Acceptance of a change never depends on them.
   std::deque<PublishOutcome> outcomes;
-  // Outcomes of older records may be missing; 0 if none is.
+  // Outcomes of records before this offset may be missing; 0 if none is.
   LogOffset outcomes_since = 0;
 
-  // Of the newest good checkpoint. These and what follows are the reader's own
-  // and may differ between readers.
+  // Of the newest usable checkpoint. This and the following fields are local
+  // to the reader and may differ between readers.
   LogOffset checkpoint_offset = 0;
   TimePoint checkpoint_written_at;
-  // Accepted changes that it may lack.
+  // Accepted changes that the checkpoint may not include.
   std::size_t changes_since_checkpoint = 0;
 
-  // Records after `pending_floor` that wait for a checkpoint.
+  // Records after offset `pending_after` that wait for a checkpoint.
   std::deque<PendingRecord> pending;
   std::size_t pending_bytes = 0;
   LogOffset pending_after = 0;
@@ -179,48 +179,48 @@
       counters{};
 };
 
-// The way from one accepted version to a later one.
+// The difference between an accepted version and a later one.
 struct VersionStep {
   ConfigVersion from = 0;
   ConfigVersion to = 0;
-  // ApplyDelta to the document of `from` gives the document of `to`.
+  // Applied to the document of `from`, it gives the document of `to`.
   Delta delta;
 };
 
-// What one record did.
+// The effect of one record.
 struct FoldResult {
   FoldReason reason = FoldReason::kOpaque;
-  // Set if `head` is higher than before the record.
+  // Set if the record raised `head`.
   std::optional<VersionStep> step;
-  // For kOpaque, so that its owner need not decode it again.
+  // Set for kOpaque, so that its owner need not decode it again.
   std::optional<OpaqueRecord> opaque;
 };
 
-// Takes the next record into account. Offsets at or below `state.position` are
-// passed over; a gap in the offsets makes the state wait for a checkpoint,
-// while `head` and `document` stay as they were. `head` never falls.
+// Folds the next record into `state`. Offsets up to `state.position` are
+// ignored. After a gap in the offsets the state waits for a checkpoint and
+// keeps `head` and `document`. `head` never decreases.
 // Preconditions: offset > 0. Not thread safe for one state.
 FoldResult Fold(FoldState& state, LogOffset offset, std::string_view bytes);
 
-// Tells the state that everything before `first` has expired unread, which a
-// reader learns from the log's answer. Not thread safe for one state.
+// Skips all records before `first`, which have expired unread; a reader learns
+// of this from the log's response. Not thread safe for one state.
 void SkipTo(FoldState& state, LogOffset first);
 
-// The state just behind the accepted record `version`, made from a document
-// that a peer holds: a reader that takes over goes on from here without reading
-// what came before. It lacks older outcomes until it sees a checkpoint that has
-// them. Precondition: `version` was accepted with this content. Thread safe.
+// The state directly after the accepted record `version`, built from a document
+// that a peer holds, so that a new reader need not read the records before it.
+// It lacks older outcomes until it folds a checkpoint that has them.
+// Precondition: `version` was accepted with this content. Thread safe.
 [[nodiscard]] FoldState StateFromPeer(ConfigVersion version,
                                       std::string publish_id,
                                       Document document);
 
-// The verdict on `publish_id` if it is still known. Not thread safe while
-// another thread folds.
+// The latest stored verdict on `publish_id`; null if there is none. Not thread
+// safe while another thread folds.
 [[nodiscard]] const PublishOutcome* FindOutcome(const FoldState& state,
                                                 std::string_view publish_id);
 
-// A change record that makes `to` out of the accepted document: as a delta, or
-// in full where that is shorter. Not thread safe while another thread folds.
+// A change record that turns the accepted document into `to`: as a delta, or in
+// full where that is shorter. Not thread safe while another thread folds.
 [[nodiscard]] ChangeRecord MakeChange(const FoldState& state,
                                       const Document& to,
                                       std::string publish_id);
@@ -229,39 +229,41 @@
 [[nodiscard]] CheckpointRecord MakeCheckpoint(const FoldState& state,
                                               TimePoint now);
 
-// The record with which a publisher begins anew after the log has lost every
-// checkpoint. Precondition: the publisher has folded the log to its end.
-// Not thread safe while another thread folds.
+// The record with which a publisher restarts the configuration after the log
+// has lost every checkpoint. Precondition: the publisher has folded the log to
+// its end. Not thread safe while another thread folds.
 [[nodiscard]] OriginRecord MakeOrigin(const FoldState& state,
                                       const Document& to,
                                       std::string publish_id);
 
-// When a checkpoint is wanted.
+// When to write a checkpoint.
 struct CheckpointRule {
   // How long the log keeps a record.
   Duration retention = std::chrono::hours(24);
-  // Longest random wait of a writer, so that one of them is first.
+  // Maximum random delay of a writer; it spreads the writers in time, so that
+  // the first checkpoint spares the others.
   Duration max_write_delay = std::chrono::seconds(5);
-  // Changes after which a late reader would have too much to fold.
+  // Accepted changes since the last checkpoint after which one is due; bounds
+  // what a late reader has to fold.
   std::size_t max_changes = 64;
 };
 
-// What a writer remembers between calls. Not thread safe.
+// State of a checkpoint writer between calls. Not thread safe.
 struct CheckpointTimer {
-  // Offset of the checkpoint whose age is being watched, and since when.
+  // Offset of the newest known checkpoint, and since when it is known.
   LogOffset watched_offset = 0;
   std::optional<TimePoint> watched_since;
-  // When to write, while one is due.
+  // When to write; set while a checkpoint is due.
   std::optional<TimePoint> write_at;
-  // Set by the caller while the log holds more than the state has folded: what
-  // a reader wrote then would be old on arrival.
+  // Set by the caller while the log holds records that the state has not folded
+  // yet: a checkpoint written then would be out of date when appended.
   bool is_behind = false;
 };
 
-// Whether to append a checkpoint now. Once one is due it waits at random first:
-// the checkpoint of another writer, seen in time, calls it off. After a true
-// answer the next comes no sooner than another wait later, so that a failing
-// log is not hammered. Not thread safe for one timer.
+// Whether to append a checkpoint now. A due checkpoint is first delayed at
+// random, and cancelled if another writer's checkpoint is folded meanwhile.
+// After returning true, it returns false for at least `max_write_delay`, to
+// limit the load on a failing log. Not thread safe for one timer.
 [[nodiscard]] bool CheckpointDue(const CheckpointRule& rule,
                                  const FoldState& state,
                                  CheckpointTimer& timer,
--- a/src/config/fold.cc
+++ b/src/config/fold.cc
@@ -7,8 +7,9 @@
 namespace teaselspread {
 namespace {
 
-// Bounds on records that wait for a checkpoint. A checkpoint is written a few
-// records after the last one that it covers, so more would seldom help.
+// Bounds on the records that wait for a checkpoint. A checkpoint usually lies
+// only a few records after the last one that it covers, so more are rarely
+// needed.
 constexpr std::size_t kMaxPending = 256;
 constexpr std::size_t kMaxPendingBytes = 8U << 20;
 
@@ -68,8 +69,8 @@
   return FoldReason::kOpaque;
 }
 
-// Judges what came between the last record that the checkpoint covers and the
-// checkpoint itself, so that a late reader stands where all others stand.
+// Judges the records between the last one that the checkpoint covers and the
+// checkpoint itself, so that a late reader reaches the state of all others.
 void Replay(FoldContext& context, LogOffset through) {
   std::deque<PendingRecord> pending;
   pending.swap(context.state.pending);
--- a/src/config/frame.cc
+++ b/src/config/frame.cc
@@ -11,7 +11,7 @@
 constexpr std::size_t kChecksumOffset = kKindOffset + 1;
 constexpr std::size_t kBodyOffset = kChecksumOffset + sizeof(XXH64_hash_t);
 
-// Covers the head as well, so that a damaged kind is noticed. Least byte first
+// Covers the header as well, so that a damaged kind is detected. Little endian
 // on every machine.
 std::string ChecksumOf(std::string_view header, std::string_view body) {
   const XXH64_hash_t seed = XXH3_64bits(header.data(), header.size());
--- a/src/config/frame.h
+++ b/src/config/frame.h
@@ -10,8 +10,8 @@
 
 namespace teaselspread {
 
-// Raise it with every change that an older release would misread, a new kind of
-// record included: an older reader must notice that it cannot judge.
+// Increase it with every change that an older release would misread, including
+// a new kind of record: an older reader must detect that it cannot judge.
 inline constexpr std::uint8_t kRecordFormat = 1;
 
 struct Frame {
@@ -23,7 +23,7 @@
 // Thread safe.
 [[nodiscard]] std::string EncodeFrame(const Frame& frame);
 
-// The frame of any format; `body` points into `bytes`. Fails with
+// Decodes a frame of any format; `body` points into `bytes`. Fails with
 // kFrameMalformed. Thread safe.
 [[nodiscard]] Result<Frame> DecodeFrame(std::string_view bytes);
 
--- a/src/config/judge.cc
+++ b/src/config/judge.cc
@@ -14,16 +14,16 @@
 constexpr std::size_t kMaxPublishIdBytes = 64;
 constexpr std::size_t kMaxMessageBytes = 400;
 
-// A checkpoint is of use only to readers that still get every record behind
-// the last one that it covers. Counting one that ends long before its own place
-// would put off the next, while the records that it needs expire.
+// Only readers that still receive every record after `through` can use a
+// checkpoint. If one whose `through` lies far behind its own offset counted, it
+// would delay the next checkpoint while the records that it needs expire.
 constexpr LogOffset kMaxCheckpointLag = 1024;
 
 bool IsPublishId(std::string_view id) {
   return !id.empty() && id.size() <= kMaxPublishIdBytes;
 }
 
-// Notes that `delta`, which is already applied, made `version`.
+// Makes `version` the head; `delta` has already been applied to the document.
 void AdvanceHead(FoldContext& context,
                  ConfigVersion version,
                  const std::string& publish_id,
@@ -40,7 +40,7 @@
   state.digest = digest;
 }
 
-// Puts a checked document in the place of the accepted one.
+// Replaces the accepted document by one that has been checked.
 void ReplaceDocument(FoldContext& context,
                      ConfigVersion version,
                      const std::string& publish_id,
@@ -54,13 +54,13 @@
 void DropOldOutcomes(FoldState& state) {
   while (state.outcomes.size() > kMaxOutcomes) {
     state.outcomes.pop_front();
-    // As many as anyone keeps.
+    // The state now holds as many outcomes as any reader does.
     state.outcomes_since = 0;
   }
 }
 
-// Keeps the verdict for publishers, at most kOutcomesKept of them. One that is
-// forgotten does no harm: a repeated append then fails on its parent.
+// Stores the verdict for publishers; only the newest kMaxOutcomes are kept.
+// Dropping one is safe: a retried append is then refused for its parent.
 FoldReason RecordOutcome(FoldState& state,
                          LogOffset offset,
                          const std::string& publish_id,
@@ -73,7 +73,7 @@
   return reason;
 }
 
-// Refuses, unless the publish_id has a verdict already.
+// Stores a refusal, unless the publish_id already has a verdict.
 FoldReason Refuse(FoldState& state,
                   LogOffset offset,
                   const std::string& publish_id,
@@ -94,8 +94,8 @@
                 ToString(expected));
 }
 
-// Takes over the newest of the outcomes that a record carries. More than are
-// kept would grow the state of all readers for good.
+// Adopts the newest kMaxOutcomes outcomes of a record. More of them would
+// permanently enlarge the state of all readers.
 void AdoptOutcomes(FoldState& state,
                    const std::vector<PublishOutcome>& outcomes,
                    LogOffset since) {
@@ -104,8 +104,9 @@
   DropOldOutcomes(state);
 }
 
-// Fills in what a reader lacks that took its state from a peer. What it took
-// for the first verdict on a publish_id may have been the second.
+// Adds the outcomes that a reader lacks because it took its state from a peer.
+// Its own refusal of a publish_id that has an older outcome is dropped, since
+// it was not the first verdict.
 void AddOlderOutcomes(FoldState& state, const CheckpointRecord& checkpoint) {
   if (checkpoint.outcomes_since >= state.outcomes_since ||
       checkpoint.through + 1 < state.outcomes_since) {
@@ -130,7 +131,7 @@
   DropOldOutcomes(state);
 }
 
-// What a change does to `document`, without the parts that do nothing.
+// The effect of a change on `document`, without edits that change nothing.
 Delta DeltaOf(const Document& document, const ChangeRecord& change) {
   if (const auto* delta = std::get_if<Delta>(&change.content))
     return Needed(document, *delta);
@@ -142,7 +143,7 @@
   std::string text;
 };
 
-// Whether a document that a record leads to may be accepted.
+// Whether the resulting document of a record may be accepted.
 Finding CheckNewDocument(const Document& document, const Digest& expected) {
   if (const Digest digest = DigestOf(document); digest != expected)
     return {FoldReason::kDigestMismatch, DigestText(expected, digest)};
@@ -151,7 +152,8 @@
   return {};
 }
 
-// Whether the moves are still the same ones as before.
+// Whether every move keeps its service and versions, and stays withdrawn if it
+// was.
 Finding CheckMoves(const Document& moves_before, const Document& after) {
   if (const auto checked = CheckMovesKept(moves_before, after); !checked) {
     return {FoldReason::kInvalid,
@@ -169,13 +171,13 @@
   const std::string& id = change.publish_id;
   if (!IsPublishId(id))
     return FoldReason::kMalformed;
-  // Readers that came by their state on other ways remember other outcomes, so
-  // that acceptance must not ask whether the publish_id is known.
+  // Readers hold different outcomes, depending on how they obtained their
+  // state, so acceptance must not depend on whether the publish_id is known.
   if (change.parent != state.head) {
     return Refuse(state, offset, id, FoldReason::kConflict,
                   ConflictText(state, change));
   }
-  // Applied in place: a copy of the document would cost as much as the checks.
+  // Applied in place, as copying the document would cost as much as the checks.
   Delta delta = DeltaOf(state.document, change);
   const Delta undo_delta = Undoing(state.document, delta);
   const Document moves_before = MovesOf(state.document);
@@ -205,8 +207,8 @@
   const std::string& id = origin.publish_id;
   if (!IsPublishId(id))
     return FoldReason::kMalformed;
-  // Known or not: a reader that does not know the publish_id must come to the
-  // same verdict.
+  // Regardless of whether the publish_id is known: a reader that does not know
+  // it must reach the same verdict.
   if (IsValidOrigin(offset, origin)) {
     AdoptOutcomes(state, origin.outcomes, 0);
     state.is_current = true;
@@ -244,8 +246,8 @@
                      LogOffset offset,
                      const CheckpointRecord& checkpoint) {
   FoldState& state = context.state;
-  // Records between `through` and the first that this reader kept are unknown
-  // to it; they may hold an accepted change.
+  // This reader does not have the records between `through` and its first
+  // pending record; one of them may be an accepted change.
   if (checkpoint.through < state.pending_after || checkpoint.through >= offset)
     return false;
   if (checkpoint.version == 0 || checkpoint.version > checkpoint.through ||
--- a/src/config/judge.h
+++ b/src/config/judge.h
@@ -1,4 +1,4 @@
-// The verdicts of the fold on single records.
+// Judges single records for the fold.
 #ifndef TEASELSPREAD_CONFIG_JUDGE_H_
 #define TEASELSPREAD_CONFIG_JUDGE_H_
 
@@ -8,14 +8,14 @@
 
 namespace teaselspread {
 
-// The state during one call of Fold, and how far its head has come.
+// The state during one call of Fold, and the change of its head so far.
 struct FoldContext {
   FoldState& state;
   std::optional<VersionStep> step = {};
 };
 
-// Precondition of all: state.is_current, but for AdoptCheckpoint.
-// Not thread safe for one state.
+// Precondition of all: state.is_current, except for AdoptCheckpoint and for
+// JudgeOrigin with a valid origin. Not thread safe for one state.
 [[nodiscard]] FoldReason JudgeChange(FoldContext& context,
                                      LogOffset offset,
                                      const ChangeRecord& change);
@@ -28,12 +28,13 @@
                                          LogOffset offset,
                                          const CheckpointRecord& checkpoint);
 
-// Whether the origin counts. This depends on the record and its offset alone,
-// since readers that started at different places must agree. Thread safe.
+// Whether the origin is accepted. This depends only on the record and its
+// offset, since readers that started at different offsets must agree. Thread
+// safe.
 [[nodiscard]] bool IsValidOrigin(LogOffset offset, const OriginRecord& origin);
 
-// Puts the checkpoint's state in force and makes the state current, or returns
-// false and changes nothing. Precondition: !state.is_current.
+// Adopts the checkpoint's state and makes the state current, or returns false
+// and changes nothing. Precondition: !state.is_current.
 [[nodiscard]] bool AdoptCheckpoint(FoldContext& context,
                                    LogOffset offset,
                                    const CheckpointRecord& checkpoint);
--- a/src/config/publish.cc
+++ b/src/config/publish.cc
@@ -1,4 +1,4 @@
-// The records that writers make out of a fold's state.
+// Builds the records that writers append, and decides when a checkpoint is due.
 #include <random>
 
 #include "teaselspread/config_log.h"
@@ -6,17 +6,19 @@
 namespace teaselspread {
 namespace {
 
-// A third of the retention leaves two more tries before the oldest expires.
+// A checkpoint is old after 1 / kMaxAgeDivisor of the retention. A third leaves
+// time for two more attempts before it expires.
 constexpr int kMaxAgeDivisor = 3;
-// A reader that lacks older outcomes leaves it to the others, while there is
-// time: who starts from its checkpoint could not say what became of an older
-// publish.
+// A reader that lacks older outcomes waits this many times longer, so that
+// others write first: readers that start from its checkpoint would not know the
+// verdicts on older publishes.
 constexpr int kMissingOutcomesAgeFactor = 2;
-// A reader that does not know whether there is a checkpoint writes within this
-// part of the retention.
+// A reader that does not know whether there is a checkpoint writes one within
+// 1 / kUnknownCheckpointDivisor of the retention.
 constexpr int kUnknownCheckpointDivisor = 12;
-// While the newest checkpoint's writer seems to live in the future, its age is
-// unknown; a clock that runs ahead must not hold back the next checkpoint.
+// The age of a checkpoint that was written in the future by the reader's clock
+// is unknown. It is old after being known for 1 / kUnknownAgeDivisor of the
+// retention, so that a clock that runs ahead does not delay the next one.
 constexpr int kUnknownAgeDivisor = 12;
 
 bool IsCheckpointOld(const CheckpointRule& rule,
@@ -37,7 +39,7 @@
                         TimePoint now) {
   if (!state.is_current || state.head == 0 || timer.is_behind)
     return false;
-  // The records may be about to expire, for all that a fresh reader knows.
+  // Without a known checkpoint, the records may be about to expire.
   if (state.checkpoint_offset == 0)
     return true;
   const bool lacks_outcomes = state.outcomes_since != 0;
@@ -51,10 +53,10 @@
   return Duration(delay(rng));
 }
 
-// A reader that took its state from a peer knows of no checkpoint, though there
-// most likely is one. Writing at once, each change of readers would cost a
-// checkpoint; waiting for a fixed time, readers that change often would never
-// write one. A time at random does neither.
+// A reader that took its state from a peer knows no checkpoint, though one
+// probably exists. Without a delay, every replacement of a reader would cost a
+// checkpoint; with a fixed delay, readers that are replaced often would never
+// write one. A random delay over a longer range avoids both.
 Duration FirstDelay(const CheckpointRule& rule,
                     const FoldState& state,
                     Rng& rng) {
--- a/src/config/record.cc
+++ b/src/config/record.cc
@@ -171,7 +171,7 @@
   return record;
 }
 
-// Throws cereal::Exception on bytes that do not fit.
+// Throws cereal::Exception if the bytes are not a body of this kind.
 LogRecord LoadBody(RecordKind kind, InputArchive& archive) {
   switch (kind) {
     case RecordKind::kChange:
--- a/tests/contract/config_fold_fault_test.cc
+++ b/tests/contract/config_fold_fault_test.cc
@@ -53,7 +53,7 @@
      FoldReason::kConflict},
     {"no parent", ModifiedChange([](auto& r) { r.parent = 0; }),
      FoldReason::kConflict},
-    {"parent to come", ModifiedChange([](auto& r) { r.parent = 3; }),
+    {"future parent", ModifiedChange([](auto& r) { r.parent = 3; }),
      FoldReason::kConflict},
     {"other digest", ModifiedChange([](auto& r) { ++r.digest.high; }),
      FoldReason::kDigestMismatch},
@@ -72,7 +72,7 @@
      FoldReason::kDuplicate},
     {"no publish_id", ModifiedChange([](auto& r) { r.publish_id = ""; }),
      FoldReason::kMalformed},
-    {"endless publish_id",
+    {"too long publish_id",
      ModifiedChange([](auto& r) { r.publish_id = std::string(1000, 'x'); }),
      FoldReason::kMalformed},
     {"dangling route",
@@ -103,7 +103,7 @@
        return origin;
      },
      FoldReason::kConflict},
-    {"checkpoint of the future",
+    {"checkpoint of a future version",
      [](const FoldState& state) {
        CheckpointRecord checkpoint = MakeCheckpoint(state, TimePoint());
        checkpoint.version = 9;
@@ -124,9 +124,9 @@
      FoldReason::kOpaque},
 };
 
-// A record arrives that must not take effect: an operator raced another, a file
-// was damaged on its way, a publish was sent twice. Taken in part, a proxy
-// would route to a service that it does not know.
+// Records that must not take effect: two operators published concurrently, a
+// file was damaged in transfer, or a publish was sent twice. If one were
+// applied in part, a proxy would route to a service that it does not know.
 Test(config_fold_fault, a_refused_record_changes_nothing) {
   for (const FaultCase& fault : kFaults) {
     FoldState state = StateAtVersionTwo();
@@ -140,7 +140,7 @@
     const auto counted =
         state.counters.at(static_cast<std::size_t>(fault.reason));
     cr_assert(counted == 1, "%s", fault.name);
-    // The next good change is accepted all the same.
+    // The next valid change is still accepted.
     cr_assert(FoldNext(state, NextChange(state, "four")).reason ==
               FoldReason::kAccepted);
   }
@@ -157,9 +157,9 @@
   cr_assert(outcome->message.find("publish two") != std::string::npos);
 }
 
-// The answer to an append is lost and the operator repeats it, long after 256
-// others. The verdict is forgotten by then; a second effect would bring back an
-// old configuration.
+// The response to an append is lost, and the operator retries it after more
+// than 256 other publishes, when its verdict is no longer stored. Accepting it
+// again would restore an old configuration.
 Test(config_fold_fault, a_forgotten_publish_has_no_second_effect) {
   FoldState state;
   const ChangeRecord first = MakeChange(state, DocumentWith("v0"), "first");
@@ -175,9 +175,9 @@
   cr_assert(state.head == head);
 }
 
-// A reader takes over from another and goes on from the document that a peer
-// holds, without the outcomes of older publishes. Where a verdict depended on
-// what a reader remembers, the two would part for good.
+// A reader starts from the document that a peer holds, without the outcomes of
+// older publishes. If acceptance depended on stored outcomes, the two readers
+// would diverge permanently.
 Test(config_fold_fault, verdicts_do_not_depend_on_what_is_remembered) {
   FoldState complete = StateAtVersionTwo();
   ChangeRecord refused = NextChange(complete, "again");
@@ -195,7 +195,8 @@
               from_peer.document == complete.document);
   }
   cr_assert(complete.head == 5 && FindOutcome(complete, "again")->offset == 5);
-  // It took the repeated append of "one" for the first, until it learnt better.
+  // It counts the retried append of "one" as the first until it folds a
+  // checkpoint with the older outcomes.
   cr_assert(FindOutcome(from_peer, "one")->reason == FoldReason::kConflict);
   FoldNext(from_peer, MakeCheckpoint(complete, TimePoint()));
   cr_assert(from_peer.outcomes == complete.outcomes &&
@@ -203,9 +204,9 @@
   cr_assert(FindOutcome(from_peer, "one")->reason == FoldReason::kAccepted);
 }
 
-// A slow reader writes a checkpoint of what it had read an hour ago. If others
-// took it for a new one, none would be written while the records that it needs
-// expire, and fresh readers would find nothing to start from.
+// A slow reader writes a checkpoint of what it had read an hour ago. If it
+// counted as new, no other would be written while the records after its
+// `through` expire, and new readers would have nothing to start from.
 Test(config_fold_fault, a_checkpoint_far_behind_its_offset_is_unusable) {
   FoldState state = StateAtVersionTwo();
   const CheckpointRecord slow =
@@ -220,9 +221,9 @@
   cr_assert(state.checkpoint_offset == state.position);
 }
 
-// A reader is paused past the retention; a change that it never saw has
-// expired. Judging on from its old head it would hold another configuration
-// than all others, for good.
+// A reader is paused for longer than the retention, and a change that it has
+// not read expires. If it went on judging with its old head, its configuration
+// would differ from all others permanently.
 Test(config_fold_fault, a_gap_keeps_the_head_and_waits_for_a_checkpoint) {
   FoldState complete = StateAtVersionTwo();
   FoldState paused = complete;
@@ -241,8 +242,8 @@
   cr_assert(paused.document == complete.document && paused.is_current);
 }
 
-// Every reader was away and the log has lost all that it held. The operator's
-// new beginning must count for those that remember and those that do not.
+// Every reader was down while all records in the log expired. The operator's
+// origin record must be accepted by readers with and without older state.
 Test(config_fold_fault, an_origin_is_accepted_above_every_older_version) {
   FoldState resumed = StateAtVersionTwo();
   FoldState fresh;
--- a/tests/contract/config_history_test.cc
+++ b/tests/contract/config_history_test.cc
@@ -1,5 +1,5 @@
-// Histories of racing operators over one log, checked against the rules that
-// users rely on. Everything follows from the seed.
+// Runs random histories of concurrent operators on one log and checks the
+// guarantees that users rely on. Each history is determined by its seed.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -26,8 +26,8 @@
   TimePoint at;
 };
 
-// The platform's log. Offsets count from 1; what is older than the retention
-// cannot be read any more.
+// The platform's log. Offsets start at 1; records older than the retention are
+// no longer readable.
 struct FakeLog {
   std::vector<LogEntry> entries;
   LogOffset first = 1;
@@ -47,11 +47,11 @@
 struct Reader {
   FoldState state;
   CheckpointTimer timer;
-  // A reader that is asleep reads nothing.
+  // A paused reader reads and writes nothing.
   bool is_paused = false;
 };
 
-// A publish of which no answer came.
+// An operator; `bytes` is its publish without a verdict yet, or empty.
 struct Publisher {
   Reader reader;
   std::string bytes;
@@ -65,13 +65,13 @@
   Rng rng;
   TimePoint now;
   FakeLog log;
-  // Folds each record at once and misses nothing.
+  // Folds each record when it is appended and misses none.
   FoldState oracle;
-  // The parent of each accepted change, and of each one its oracle's verdict.
+  // By parent, the publish_id of the accepted change.
   std::map<ConfigVersion, std::string> winner_of_parent;
   std::vector<Reader> readers = std::vector<Reader>(kReaders);
   std::vector<Publisher> publishers = std::vector<Publisher>(kOperators);
-  // On their way to the log, still.
+  // Appends that have not reached the log yet.
   std::vector<std::string> in_flight;
   int publishes = 0;
 };
@@ -186,8 +186,8 @@
   return record && std::holds_alternative<OriginRecord>(*record);
 }
 
-// A verdict that the operator sees is the one that all see. Only a new
-// beginning, whose publisher did not know it, may make all forget it.
+// The verdict that an operator reads must equal the oracle's. Only an origin
+// record whose publisher did not know the verdict may drop it.
 void CheckVerdict(World& world, Publisher& publisher) {
   const PublishOutcome* seen =
       FindOutcome(publisher.reader.state, publisher.publish_id);
@@ -220,8 +220,8 @@
   return EncodeRecord(change);
 }
 
-// The request may be lost, the answer may be lost, or both arrive. Without an
-// answer the operator sends the same record again.
+// The request or its response may be lost. Without a verdict, the operator
+// retries with the same record.
 void Publish(World& world, Publisher& publisher) {
   if (publisher.bytes.empty()) {
     publisher.publish_id = "publish-" + std::to_string(++world.publishes);
@@ -243,7 +243,7 @@
     Append(world, "no record at all");
 }
 
-// A new reader starts from the log, or from what another one holds.
+// A new reader starts from the log or from the state of a peer.
 void Replace(World& world, Reader& reader) {
   const FoldState peer = world.readers[world.rng() % kReaders].state;
   reader = Reader();
@@ -293,8 +293,8 @@
     cr_assert(state.outcomes == expected.outcomes, "seed %lu", world.seed);
 }
 
-// A reader that starts at any place still in the log either knows that it
-// cannot judge, or stands where all others stand.
+// A reader that starts at any offset still in the log either is not current or
+// has the same state as all others.
 void CheckLateReaders(World& world) {
   const LogOffset last = world.log.entries.size();
   for (LogOffset first = world.log.first; first <= last;
@@ -307,8 +307,8 @@
   }
 }
 
-// After the faults a reader that has everything goes on reading and writing
-// checkpoints, and a fresh one must find its way.
+// After the faults, a reader with the complete state keeps reading and writing
+// checkpoints. All readers, including a new one, must become current.
 void CheckRecovery(World& world) {
   world.in_flight.clear();
   Reader complete;
@@ -355,15 +355,15 @@
     totals.adopted += CountOf(reader.state, FoldReason::kCheckpointAdopted);
 }
 
-// Operators publish at the same moment, answers get lost and are repeated,
-// appends arrive crossed, processes start anew or sleep past the log's
-// retention. A user would see two data centres with different configurations
-// for good, a version that goes back, or a publish whose fate nobody knows.
+// Operators publish concurrently, responses are lost and appends retried or
+// reordered, processes restart or pause for longer than the log's retention.
+// This must not leave data centres with different configurations permanently,
+// decrease a version, or leave the verdict on a publish unknown.
 void RunHistories(std::uint64_t part) {
   Totals totals;
   for (std::uint64_t seed = part; seed < kSeeds; seed += kParts)
     RunHistory(seed, totals);
-  // The histories were worth checking.
+  // The histories must have covered enough changes, conflicts and checkpoints.
   constexpr std::uint64_t kSeedsPerPart = kSeeds / kParts;
   cr_assert(totals.accepted > 10 * kSeedsPerPart &&
                 totals.conflicts > 10 * kSeedsPerPart &&
@@ -372,7 +372,7 @@
             totals.conflicts, totals.adopted);
 }
 
-// Criterion runs tests side by side: four parts take a quarter of the time.
+// Criterion runs tests in parallel: four parts take a quarter of the time.
 Test(config_history, concurrent_publishes_converge_0) {
   RunHistories(0);
 }
--- a/tests/contract/config_move_test.cc
+++ b/tests/contract/config_move_test.cc
@@ -38,7 +38,7 @@
   });
 }
 
-// Moves the entry of one prefix to another.
+// Renames every path that starts with `from` to start with `to`.
 void RenamePrefix(Leaves& leaves,
                   const std::string& from,
                   const std::string& to) {
@@ -60,7 +60,7 @@
 const std::vector<MoveEdit> kEdits = {
     {"another target",
      [](Leaves& leaves) { leaves["base/moves/m1/to"] = "v3"; }, false},
-    {"another target at one place",
+    {"another target in one data centre",
      [](Leaves& leaves) { leaves["overlay/bole/moves/m1/to"] = "v3"; }, false},
     {"the same id for another move in an overlay",
      [](Leaves& leaves) {
@@ -70,7 +70,7 @@
      false},
     {"a withdrawn move resumed",
      [](Leaves& leaves) { leaves.erase("base/moves/m0/withdrawn"); }, false},
-    {"a withdrawn move resumed in so many words",
+    {"a withdrawn move resumed explicitly",
      [](Leaves& leaves) { leaves["base/moves/m0/withdrawn"] = "false"; },
      false},
     {"later",
@@ -78,7 +78,7 @@
        leaves["base/moves/m1/by"] = "2026-12-05T22:00:00Z";
      },
      true},
-    {"later at one place",
+    {"later in one data centre",
      [](Leaves& leaves) {
        leaves["overlay/bole/moves/m1/by"] = "2026-12-05T22:00:00Z";
      },
@@ -104,9 +104,9 @@
      true},
 };
 
-// A move is done, and the operator writes the next one by changing its target
-// in place. The verdict belongs to the id, so that the next version would get
-// all the traffic at once, and a bad one would fail every request.
+// A move has ended, and the operator changes its target in place to start the
+// next one. Since the verdict is stored by id, the new version would receive
+// all traffic at once, and a faulty version would fail every request.
 Test(config_move, a_move_keeps_its_service_and_versions) {
   const auto before = LoadSources({{"base.yaml", kBase}, {}});
   cr_assert(before.has_value(), "%s", before.error().message.c_str());
--- a/tests/contract/config_record_test.cc
+++ b/tests/contract/config_record_test.cc
@@ -74,9 +74,9 @@
   }
 }
 
-// The log is shared with other programs and its answers can be cut or mixed up.
-// A reader that died of a bad record would die again after each restart, and
-// with it every proxy that reads the log.
+// The log is shared with other programs, and its responses can be truncated or
+// mixed up. A malformed record that crashed a reader would crash every proxy
+// that reads the log, and again after each restart.
 Test(config_record, bad_bytes_are_refused_and_change_nothing) {
   for (std::uint64_t seed = 0; seed < 2000; ++seed) {
     Rng rng(seed);
@@ -104,9 +104,8 @@
   }
 }
 
-// Whoever writes a record with a true checksum may still claim sizes that are
-// not there. Room made for what a size claims would end the process for lack of
-// memory.
+// A record with a correct checksum may still claim sizes beyond its bytes.
+// Allocating memory by a claimed size would end the process for lack of memory.
 Test(config_record, claimed_sizes_take_no_memory) {
   const std::string body(
       "\x01\xff\xff\xff\xff"
@@ -118,9 +117,9 @@
   }
 }
 
-// A newer release publishes while old processes still run. An old one that
-// passed over what it cannot read would judge the next change against a head
-// that is no longer the head, and would write that into a checkpoint.
+// A newer release publishes while old processes still run. An old process that
+// skipped the unreadable record would judge the next change against an outdated
+// head and write that head into a checkpoint.
 Test(config_record, a_newer_format_stops_the_judging) {
   FoldState state;
   const std::string newer = EncodeFrame({kRecordFormat + 1, 0, "unknown"});
--- a/tests/unit/checkpoint_rule_test.cc
+++ b/tests/unit/checkpoint_rule_test.cc
@@ -49,7 +49,7 @@
 }
 
 // All nodes are replaced while the only change in the log is about to expire.
-// Had the new ones to wait a third of the retention first, it would be gone.
+// It would be lost if the new nodes first waited a third of the retention.
 Test(checkpoint_rule, the_first_checkpoint_does_not_wait) {
   FoldState state;
   state.head = 7;
@@ -67,8 +67,9 @@
                        seconds(20)));
 }
 
-// A writer's clock runs a day ahead. Its checkpoint would look young until the
-// log has dropped it, and late readers would find nothing to start from.
+// A writer's clock runs a day ahead. Its checkpoint must not count as recent
+// until the log drops it, or late readers would have no checkpoint to start
+// from.
 Test(checkpoint_rule, a_writer_clock_that_runs_ahead_delays_nothing) {
   const FoldState state = WithCheckpoint(kStart + hours(24));
   CheckpointTimer timer;
@@ -76,8 +77,9 @@
   cr_assert(DueWithin(state, timer, kStart + hours(2), seconds(10)));
 }
 
-// Many readers see the same checkpoint grow old at the same moment. Writing all
-// at once they would flood a log that takes several hundred appends a second.
+// For many readers the same checkpoint becomes old at the same moment. If all
+// wrote at once, they would overload a log that takes several hundred appends a
+// second.
 Test(checkpoint_rule, one_write_suffices_for_many_writers) {
   FoldState state = WithCheckpoint(kStart);
   constexpr int kWriters = 40;
@@ -94,16 +96,16 @@
       if (!CheckpointDue(kRule, state, timer, now, rng))
         continue;
       ++written;
-      // Readers see it after 100 ms.
+      // The other readers receive it after 100 ms.
       seen_at = std::min(seen_at, now + std::chrono::milliseconds(100));
     }
   }
   cr_assert(written >= 1 && written <= 4, "%d", written);
 }
 
-// VMs are replaced all day long, and each new reader goes on from what a peer
-// holds. If each left it to the next, the last checkpoint would expire while
-// all looks well, and no operator could publish any more.
+// VMs are replaced all day long, and each new reader starts from the state of a
+// peer. If each were replaced before it writes, the last checkpoint would
+// expire unnoticed, and no operator could publish any more.
 Test(checkpoint_rule, readers_that_are_replaced_often_still_write) {
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
     Rng rng(seed);
@@ -122,15 +124,15 @@
       cr_assert(now - last < kRule.retention, "seed %lu", seed);
       last = now;
       ++written;
-      // Its next turn comes with the next reader.
+      // Only the next reader writes again.
       timer.write_at = TimePoint::max();
     }
     cr_assert(written > 100 && written < 500, "%d", written);
   }
 }
 
-// The log fails for a while. A reader that tried without a pause would be in
-// the way of its recovery; one that gave up would let the retention pass.
+// The log fails for a while. Retrying without a delay would hinder its
+// recovery; not retrying would let the records expire.
 Test(checkpoint_rule, a_lost_append_is_retried_at_a_bounded_rate) {
   const FoldState state = WithCheckpoint(kStart);
   CheckpointTimer timer;
