--- a/src/config/judge.cc
+++ b/src/config/judge.cc
@@ -11,69 +11,69 @@
 namespace teaselspread {
 namespace {
 
-constexpr std::size_t kMaxPublishId = 64;
-constexpr std::size_t kMaxMessage = 400;
+constexpr std::size_t kMaxPublishIdBytes = 64;
+constexpr std::size_t kMaxMessageBytes = 400;
 
-// A checkpoint is of use only to readers that still get every record behind
-// the last one that it covers. Counting one that ends long before its own place
-// would put off the next, while the records that it needs expire.
+// Only readers that still receive every record after `through` can use a
+// checkpoint. If one whose `through` lies far behind its own offset counted, it
+// would delay the next checkpoint while the records that it needs expire.
 constexpr LogOffset kMaxCheckpointLag = 1024;
 
 bool IsPublishId(std::string_view id) {
-  return !id.empty() && id.size() <= kMaxPublishId;
+  return !id.empty() && id.size() <= kMaxPublishIdBytes;
 }
 
-// Notes that `delta`, which is already applied, made `version`.
-void Advance(Folding& folding,
-             ConfigVersion version,
-             const std::string& publish_id,
-             const Digest& digest,
-             Delta delta) {
-  FoldState& state = folding.state;
-  if (!folding.step)
-    folding.step = VersionStep{state.head, version, std::move(delta)};
+// Makes `version` the head; `delta` has already been applied to the document.
+void AdvanceHead(FoldContext& context,
+                 ConfigVersion version,
+                 const std::string& publish_id,
+                 const Digest& digest,
+                 Delta delta) {
+  FoldState& state = context.state;
+  if (!context.step)
+    context.step = VersionStep{state.head, version, std::move(delta)};
   else
-    Append(folding.step->delta, delta);
-  folding.step->to = version;
+    Append(context.step->delta, delta);
+  context.step->to = version;
   state.head = version;
   state.head_publish_id = publish_id;
   state.digest = digest;
 }
 
-// Puts a checked document in the place of the accepted one.
-void Replace(Folding& folding,
-             ConfigVersion version,
-             const std::string& publish_id,
-             const Digest& digest,
-             const Document& document) {
-  Delta delta = MakeDelta(folding.state.document, document);
-  folding.state.document = document;
-  Advance(folding, version, publish_id, digest, std::move(delta));
+// Replaces the accepted document by one that has been checked.
+void ReplaceDocument(FoldContext& context,
+                     ConfigVersion version,
+                     const std::string& publish_id,
+                     const Digest& digest,
+                     const Document& document) {
+  Delta delta = MakeDelta(context.state.document, document);
+  context.state.document = document;
+  AdvanceHead(context, version, publish_id, digest, std::move(delta));
 }
 
 void DropOldOutcomes(FoldState& state) {
-  while (state.outcomes.size() > kOutcomesKept) {
+  while (state.outcomes.size() > kMaxOutcomes) {
     state.outcomes.pop_front();
-    // As many as anyone keeps.
+    // The state now holds as many outcomes as any reader does.
     state.outcomes_since = 0;
   }
 }
 
-// Keeps the verdict for publishers, at most kOutcomesKept of them. One that is
-// forgotten does no harm: a repeated append then fails on its parent.
-FoldReason Record(FoldState& state,
-                  LogOffset offset,
-                  const std::string& publish_id,
-                  FoldReason reason,
-                  std::string message) {
-  message.resize(std::min(message.size(), kMaxMessage));
+// Stores the verdict for publishers; only the newest kMaxOutcomes are kept.
+// Dropping one is safe: a retried append is then refused for its parent.
+FoldReason RecordOutcome(FoldState& state,
+                         LogOffset offset,
+                         const std::string& publish_id,
+                         FoldReason reason,
+                         std::string message) {
+  message.resize(std::min(message.size(), kMaxMessageBytes));
   state.outcomes.push_back({publish_id, offset, reason, state.head,
                             state.head_publish_id, std::move(message)});
   DropOldOutcomes(state);
   return reason;
 }
 
-// Refuses, unless the publish_id has a verdict already.
+// Stores a refusal, unless the publish_id already has a verdict.
 FoldReason Refuse(FoldState& state,
                   LogOffset offset,
                   const std::string& publish_id,
@@ -81,7 +81,7 @@
                   std::string message) {
   if (FindOutcome(state, publish_id) != nullptr)
     return FoldReason::kDuplicate;
-  return Record(state, offset, publish_id, reason, std::move(message));
+  return RecordOutcome(state, offset, publish_id, reason, std::move(message));
 }
 
 std::string ConflictText(const FoldState& state, const ChangeRecord& change) {
@@ -89,39 +89,40 @@
                 state.head, ", which publish ", state.head_publish_id, " made");
 }
 
-std::string DigestText(const Digest& wanted, const Digest& got) {
-  return Concat("the digest is ", ToString(got), ", the record says ",
-                ToString(wanted));
+std::string DigestText(const Digest& expected, const Digest& actual) {
+  return Concat("the digest is ", ToString(actual), ", the record says ",
+                ToString(expected));
 }
 
-// Takes over the newest of the outcomes that a record carries. More than are
-// kept would grow the state of all readers for good.
-void TakeOutcomes(FoldState& state,
-                  const std::vector<PublishOutcome>& outcomes,
-                  LogOffset since) {
+// Adopts the newest kMaxOutcomes outcomes of a record. More of them would
+// permanently enlarge the state of all readers.
+void AdoptOutcomes(FoldState& state,
+                   const std::vector<PublishOutcome>& outcomes,
+                   LogOffset since) {
   state.outcomes.assign(outcomes.begin(), outcomes.end());
   state.outcomes_since = since;
   DropOldOutcomes(state);
 }
 
-// Fills in what a reader lacks that took its state from a peer. What it took
-// for the first verdict on a publish_id may have been the second.
+// Adds the outcomes that a reader lacks because it took its state from a peer.
+// Its own refusal of a publish_id that has an older outcome is dropped, since
+// it was not the first verdict.
 void AddOlderOutcomes(FoldState& state, const CheckpointRecord& checkpoint) {
   if (checkpoint.outcomes_since >= state.outcomes_since ||
       checkpoint.through + 1 < state.outcomes_since) {
     return;
   }
   std::deque<PublishOutcome> outcomes;
-  std::set<std::string_view> known;
+  std::set<std::string_view> known_ids;
   for (const PublishOutcome& outcome : checkpoint.outcomes) {
     if (outcome.offset >= state.outcomes_since)
       continue;
     outcomes.push_back(outcome);
-    known.insert(outcome.publish_id);
+    known_ids.insert(outcome.publish_id);
   }
   for (PublishOutcome& outcome : state.outcomes) {
     if (outcome.reason == FoldReason::kAccepted ||
-        !known.contains(outcome.publish_id)) {
+        !known_ids.contains(outcome.publish_id)) {
       outcomes.push_back(std::move(outcome));
     }
   }
@@ -130,7 +131,7 @@
   DropOldOutcomes(state);
 }
 
-// What a change does to `document`, without the parts that do nothing.
+// The effect of a change on `document`, without edits that change nothing.
 Delta DeltaOf(const Document& document, const ChangeRecord& change) {
   if (const auto* delta = std::get_if<Delta>(&change.content))
     return Needed(document, *delta);
@@ -142,89 +143,90 @@
   std::string text;
 };
 
-// Whether a document that a record leads to may be accepted.
-Finding CheckResult(const Document& document, const Digest& wanted) {
-  if (const Digest digest = DigestOf(document); digest != wanted)
-    return {FoldReason::kDigestMismatch, DigestText(wanted, digest)};
+// Whether the resulting document of a record may be accepted.
+Finding CheckNewDocument(const Document& document, const Digest& expected) {
+  if (const Digest digest = DigestOf(document); digest != expected)
+    return {FoldReason::kDigestMismatch, DigestText(expected, digest)};
   if (const auto valid = ValidateAll(document); !valid)
     return {FoldReason::kInvalid, valid.error().message};
   return {};
 }
 
-// Whether the moves are still the same ones as before.
+// Whether every move keeps its service and versions, and stays withdrawn if it
+// was.
 Finding CheckMoves(const Document& moves_before, const Document& after) {
-  if (const auto kept = CheckMovesKept(moves_before, after); !kept) {
+  if (const auto checked = CheckMovesKept(moves_before, after); !checked) {
     return {FoldReason::kInvalid,
-            Concat(kept.error().path, ": ", kept.error().text)};
+            Concat(checked.error().path, ": ", checked.error().text)};
   }
   return {};
 }
 
 }  // namespace
 
-FoldReason JudgeChange(Folding& folding,
+FoldReason JudgeChange(FoldContext& context,
                        LogOffset offset,
                        const ChangeRecord& change) {
-  FoldState& state = folding.state;
+  FoldState& state = context.state;
   const std::string& id = change.publish_id;
   if (!IsPublishId(id))
     return FoldReason::kMalformed;
-  // Readers that came by their state on other ways remember other outcomes, so
-  // that acceptance must not ask whether the publish_id is known.
+  // Readers hold different outcomes, depending on how they obtained their
+  // state, so acceptance must not depend on whether the publish_id is known.
   if (change.parent != state.head) {
     return Refuse(state, offset, id, FoldReason::kConflict,
                   ConflictText(state, change));
   }
-  // Applied in place: a copy of the document would cost as much as the checks.
+  // Applied in place, as copying the document would cost as much as the checks.
   Delta delta = DeltaOf(state.document, change);
-  const Delta undoing = Undoing(state.document, delta);
+  const Delta undo_delta = Undoing(state.document, delta);
   const Document moves_before = MovesOf(state.document);
   ApplyInPlace(state.document, delta);
-  Finding finding = CheckResult(state.document, change.digest);
+  Finding finding = CheckNewDocument(state.document, change.digest);
   if (finding.reason == FoldReason::kAccepted)
     finding = CheckMoves(moves_before, state.document);
   if (const auto& [reason, text] = finding; reason != FoldReason::kAccepted) {
-    ApplyInPlace(state.document, undoing);
+    ApplyInPlace(state.document, undo_delta);
     return Refuse(state, offset, id, reason, text);
   }
-  Advance(folding, offset, id, change.digest, std::move(delta));
+  AdvanceHead(context, offset, id, change.digest, std::move(delta));
   ++state.changes_since_checkpoint;
-  return Record(state, offset, id, FoldReason::kAccepted, "");
+  return RecordOutcome(state, offset, id, FoldReason::kAccepted, "");
 }
 
-bool IsGoodOrigin(LogOffset offset, const OriginRecord& origin) {
+bool IsValidOrigin(LogOffset offset, const OriginRecord& origin) {
   return origin.through + 1 == offset && IsPublishId(origin.publish_id) &&
-         CheckResult(origin.document, origin.digest).reason ==
+         CheckNewDocument(origin.document, origin.digest).reason ==
              FoldReason::kAccepted;
 }
 
-FoldReason JudgeOrigin(Folding& folding,
+FoldReason JudgeOrigin(FoldContext& context,
                        LogOffset offset,
                        const OriginRecord& origin) {
-  FoldState& state = folding.state;
+  FoldState& state = context.state;
   const std::string& id = origin.publish_id;
   if (!IsPublishId(id))
     return FoldReason::kMalformed;
-  // Known or not: a reader that does not know the publish_id must come to the
-  // same verdict.
-  if (IsGoodOrigin(offset, origin)) {
-    TakeOutcomes(state, origin.outcomes, 0);
+  // Regardless of whether the publish_id is known: a reader that does not know
+  // it must reach the same verdict.
+  if (IsValidOrigin(offset, origin)) {
+    AdoptOutcomes(state, origin.outcomes, 0);
     state.is_current = true;
-    Replace(folding, offset, id, origin.digest, origin.document);
+    ReplaceDocument(context, offset, id, origin.digest, origin.document);
     ++state.changes_since_checkpoint;
-    return Record(state, offset, id, FoldReason::kAccepted, "");
+    return RecordOutcome(state, offset, id, FoldReason::kAccepted, "");
   }
   if (origin.through + 1 != offset) {
     return Refuse(state, offset, id, FoldReason::kConflict,
                   "another record came before this new beginning");
   }
-  const auto [reason, text] = CheckResult(origin.document, origin.digest);
+  const auto [reason, text] = CheckNewDocument(origin.document, origin.digest);
   return Refuse(state, offset, id, reason, text);
 }
 
-FoldReason SeeCheckpoint(FoldState& state,
-                         LogOffset offset,
-                         const CheckpointRecord& checkpoint) {
+FoldReason JudgeCheckpoint(FoldState& state,
+                           LogOffset offset,
+                           const CheckpointRecord& checkpoint) {
   const bool is_head = checkpoint.version == state.head;
   if (checkpoint.version == 0 || checkpoint.version > state.head ||
       checkpoint.through >= offset ||
@@ -240,27 +242,27 @@
   return FoldReason::kCheckpointSeen;
 }
 
-bool AdoptCheckpoint(Folding& folding,
+bool AdoptCheckpoint(FoldContext& context,
                      LogOffset offset,
                      const CheckpointRecord& checkpoint) {
-  FoldState& state = folding.state;
-  // Records between `through` and the first that this reader kept are unknown
-  // to it; they may hold an accepted change.
-  if (checkpoint.through < state.pending_floor || checkpoint.through >= offset)
+  FoldState& state = context.state;
+  // This reader does not have the records between `through` and its first
+  // pending record; one of them may be an accepted change.
+  if (checkpoint.through < state.pending_after || checkpoint.through >= offset)
     return false;
   if (checkpoint.version == 0 || checkpoint.version > checkpoint.through ||
       checkpoint.version < state.head) {
     return false;
   }
-  if (CheckResult(checkpoint.document, checkpoint.digest).reason !=
+  if (CheckNewDocument(checkpoint.document, checkpoint.digest).reason !=
       FoldReason::kAccepted) {
     return false;
   }
   if (checkpoint.version > state.head) {
-    Replace(folding, checkpoint.version, checkpoint.publish_id,
-            checkpoint.digest, checkpoint.document);
+    ReplaceDocument(context, checkpoint.version, checkpoint.publish_id,
+                    checkpoint.digest, checkpoint.document);
   }
-  TakeOutcomes(state, checkpoint.outcomes, checkpoint.outcomes_since);
+  AdoptOutcomes(state, checkpoint.outcomes, checkpoint.outcomes_since);
   state.checkpoint_offset = offset;
   state.checkpoint_written_at = checkpoint.written_at;
   state.changes_since_checkpoint = 0;
--- a/tests/contract/config_move_test.cc
+++ b/tests/contract/config_move_test.cc
@@ -38,8 +38,10 @@
   });
 }
 
-// Moves the entry of one prefix to another.
-void Rename(Leaves& leaves, const std::string& from, const std::string& to) {
+// Renames every path that starts with `from` to start with `to`.
+void RenamePrefix(Leaves& leaves,
+                  const std::string& from,
+                  const std::string& to) {
   Leaves renamed;
   for (const auto& [path, value] : leaves) {
     if (path.starts_with(from))
@@ -58,17 +60,17 @@
 const std::vector<MoveEdit> kEdits = {
     {"another target",
      [](Leaves& leaves) { leaves["base/moves/m1/to"] = "v3"; }, false},
-    {"another target at one place",
+    {"another target in one data centre",
      [](Leaves& leaves) { leaves["overlay/bole/moves/m1/to"] = "v3"; }, false},
     {"the same id for another move in an overlay",
      [](Leaves& leaves) {
-       Rename(leaves, "base/moves/m1/", "overlay/bole/moves/m1/");
+       RenamePrefix(leaves, "base/moves/m1/", "overlay/bole/moves/m1/");
        leaves["overlay/bole/moves/m1/to"] = "v3";
      },
      false},
     {"a withdrawn move resumed",
      [](Leaves& leaves) { leaves.erase("base/moves/m0/withdrawn"); }, false},
-    {"a withdrawn move resumed in so many words",
+    {"a withdrawn move resumed explicitly",
      [](Leaves& leaves) { leaves["base/moves/m0/withdrawn"] = "false"; },
      false},
     {"later",
@@ -76,7 +78,7 @@
        leaves["base/moves/m1/by"] = "2026-12-05T22:00:00Z";
      },
      true},
-    {"later at one place",
+    {"later in one data centre",
      [](Leaves& leaves) {
        leaves["overlay/bole/moves/m1/by"] = "2026-12-05T22:00:00Z";
      },
@@ -96,15 +98,15 @@
      true},
     {"another id",
      [](Leaves& leaves) {
-       Rename(leaves, "base/moves/m1/", "base/moves/m2/");
+       RenamePrefix(leaves, "base/moves/m1/", "base/moves/m2/");
        leaves["base/moves/m2/to"] = "v3";
      },
      true},
 };
 
-// A move is done, and the operator writes the next one by changing its target
-// in place. The verdict belongs to the id, so that the next version would get
-// all the traffic at once, and a bad one would fail every request.
+// A move has ended, and the operator changes its target in place to start the
+// next one. Since the verdict is stored by id, the new version would receive
+// all traffic at once, and a faulty version would fail every request.
 Test(config_move, a_move_keeps_its_service_and_versions) {
   const auto before = LoadSources({{"base.yaml", kBase}, {}});
   cr_assert(before.has_value(), "%s", before.error().message.c_str());
@@ -118,9 +120,9 @@
     cr_assert(valid.has_value() == edit.accepted, "%s", edit.name);
     const FoldResult result =
         Fold(state, 2, EncodeRecord(MakeChange(state, after, "two")));
-    const FoldReason wanted =
+    const FoldReason expected =
         edit.accepted ? FoldReason::kAccepted : FoldReason::kInvalid;
-    cr_assert(result.reason == wanted, "%s: %s", edit.name,
+    cr_assert(result.reason == expected, "%s: %s", edit.name,
               FindOutcome(state, "two")->message.c_str());
     cr_assert(state.document == (edit.accepted ? after : *before));
   }
