--- a/tests/contract/platform_test.cc
+++ b/tests/contract/platform_test.cc
@@ -30,14 +30,14 @@
   "clusters": [{"name": "desk", "healthPath": "/health", "maxConnections": 130},
                {"name": 4}]})";
 
-SnapshotPtr SnapshotOf(const std::string& text) {
+SnapshotPtr DecodeSnapshot(const std::string& text) {
   const auto order = DecodeOrder({"config", text});
   cr_assert(order.has_value());
   return std::get<SnapshotPtr>(*order);
 }
 
 Test(platform, a_configuration_is_decoded_whole) {
-  const SnapshotPtr snapshot = SnapshotOf(kConfig);
+  const SnapshotPtr snapshot = DecodeSnapshot(kConfig);
   cr_assert(snapshot->version == 0x1c);
   cr_assert(snapshot->routes.size() == 3);
   const RouteConfig& lodge = snapshot->routes[0];
@@ -58,7 +58,7 @@
 
 // Records of other writers, or of a later release, stand beside the good ones.
 // They must neither stop the process nor change what is in force.
-Test(platform, records_that_cannot_be_read_name_nothing) {
+Test(platform, unreadable_records_are_not_applied) {
   for (const char* text : {"", "{", "[]", "7", "\xff\xfe", "{}",
                            R"({"version": 12})", R"({"version": "xyz"})"}) {
     const auto order = DecodeOrder({"config", text});
@@ -81,19 +81,19 @@
   cr_assert(move.duration == std::chrono::milliseconds(12500));
 }
 
-Test(platform, a_report_survives_the_way_there_and_back) {
+Test(platform, a_report_round_trips) {
   for (const MoveProgress progress :
        {MoveProgress::kRunning, MoveProgress::kDone,
         MoveProgress::kTakenBack}) {
     const MoveReport report{"desk", "v2", progress};
-    const auto back = DecodeReport(EncodeReport(report));
-    cr_assert(back && *back == report);
+    const auto decoded = DecodeReport(EncodeReport(report));
+    cr_assert(decoded && *decoded == report);
   }
   cr_assert_not(DecodeReport({"rollout/desk", "{"}).has_value());
   cr_assert_not(DecodeReport({"other", "{}"}).has_value());
 }
 
-HttpRequest Call(const std::string& path, const std::string& body) {
+HttpRequest MakePost(const std::string& path, const std::string& body) {
   HttpRequest request;
   request.method = "POST";
   request.target = path;
@@ -107,7 +107,7 @@
 
 Test(platform, a_heartbeat_is_decoded) {
   const auto call =
-      DecodeUpstreamCall(Call("/instances/i-7/heartbeat", kHeartbeat));
+      DecodeUpstreamCall(MakePost("/instances/i-7/heartbeat", kHeartbeat));
   const auto& report = std::get<UpstreamReport>(*call);
   cr_assert_str_eq(report.instance.c_str(), "i-7");
   cr_assert_str_eq(report.service.c_str(), "desk");
@@ -117,21 +117,22 @@
 }
 
 Test(platform, a_leave_call_needs_no_body) {
-  const auto bare = DecodeUpstreamCall(Call("/instances/i-7/leave", ""));
-  cr_assert(std::get<LeaveCall>(*bare).born_ms == 0);
-  const auto told =
-      DecodeUpstreamCall(Call("/instances/i-7/leave", R"({"born":77})"));
-  cr_assert(std::get<LeaveCall>(*told).born_ms == 77);
+  const auto without_body =
+      DecodeUpstreamCall(MakePost("/instances/i-7/leave", ""));
+  cr_assert(std::get<LeaveCall>(*without_body).born_ms == 0);
+  const auto with_body =
+      DecodeUpstreamCall(MakePost("/instances/i-7/leave", R"({"born":77})"));
+  cr_assert(std::get<LeaveCall>(*with_body).born_ms == 77);
 }
 
-struct BadCall {
+struct RefusedCall {
   std::string path;
   std::string body;
   ErrorKind kind;
 };
 
-Test(platform, calls_that_name_no_upstream_are_refused) {
-  const std::vector<BadCall> calls = {
+Test(platform, malformed_upstream_calls_are_refused) {
+  const std::vector<RefusedCall> calls = {
       {"/instances/i-7/dance", kHeartbeat, ErrorKind::kNoRoute},
       {"/instances//heartbeat", kHeartbeat, ErrorKind::kNoRoute},
       {"/instances/i-7/heartbeat/x", kHeartbeat, ErrorKind::kNoRoute},
@@ -151,9 +152,10 @@
            "status":{"state":"dancing","seq":1}})",
        ErrorKind::kBadRequest},
   };
-  for (const BadCall& each : calls) {
-    const auto call = DecodeUpstreamCall(Call(each.path, each.body));
-    cr_assert(!call && call.error().kind == each.kind, "%s", each.body.c_str());
+  for (const RefusedCall& refused : calls) {
+    const auto call = DecodeUpstreamCall(MakePost(refused.path, refused.body));
+    cr_assert(!call && call.error().kind == refused.kind, "%s",
+              refused.body.c_str());
   }
 }
 
@@ -168,7 +170,7 @@
   return std::string(7, '\0') + static_cast<char>(last);
 }
 
-Test(platform, each_refusal_of_the_store_is_told_apart) {
+Test(platform, store_errors_are_distinguished) {
   const std::vector<std::pair<int, StoreOutcome>> cases = {
       {429, StoreOutcome::kThrottled}, {503, StoreOutcome::kUnavailable},
       {410, StoreOutcome::kForgotten}, {412, StoreOutcome::kConflict},
@@ -220,7 +222,7 @@
   EdgeSettings settings;
   settings.agreed =
       R"("graceS=4","retryBudgetRatio=0.3", budgetSlack=11,new=7,odd)";
-  ApplyAgreed(settings);
+  ApplyAgreedBounds(settings);
   cr_assert(settings.stop_grace == std::chrono::seconds(4));
   cr_assert(settings.retry_share == 0.3);
   cr_assert(settings.retry_slack == 11);
--- a/tests/process/edge_fleet.h
+++ b/tests/process/edge_fleet.h
@@ -34,11 +34,12 @@
       : name(vm_name),
         service(options.service),
         upstream(*new standin::MeshUpstream(options)) {
-    this->settings = "/tmp/edge-" + std::to_string(::getpid()) + "-" + name;
+    this->settings_path =
+        "/tmp/edge-" + std::to_string(::getpid()) + "-" + name;
     const auto at = [](std::uint16_t port) {
       return "127.0.0.1:" + std::to_string(port) + "\n";
     };
-    std::ofstream file(this->settings);
+    std::ofstream file(this->settings_path);
     file << "vm: " << name << "\ndata_center: " << data_center
          << "\nservice: " << options.service
          << "\noutbound: " << at(this->ports.outbound)
@@ -55,14 +56,15 @@
   }
 
   void Start() {
-    this->program = std::make_unique<Program>(
-        "teaseledge", std::vector<std::string>{"--settings=" + this->settings});
+    this->node = std::make_unique<Program>(
+        "teaseledge",
+        std::vector<std::string>{"--settings=" + this->settings_path});
   }
 
   // Kills the node and starts it again.
   void Restart() {
-    this->program->Signal(SIGKILL);
-    (void)this->program->WaitExit();
+    this->node->Signal(SIGKILL);
+    (void)this->node->WaitExit();
     this->Start();
   }
 
@@ -93,8 +95,8 @@
   EdgePorts ports;
   // Never freed: the threads of its connections end with the process.
   standin::MeshUpstream& upstream;
-  std::string settings;
-  std::unique_ptr<Program> program;
+  std::string settings_path;
+  std::unique_ptr<Program> node;
 };
 
 // The configuration `version` with a route of each kind. `extra` is one more
@@ -122,11 +124,11 @@
          R"({"name":"works","healthPath":"/health"}]})";
 }
 
-inline HttpResponse Ask(const EdgeVm& vm,
-                        const std::string& method,
-                        const std::string& path,
-                        const std::string& id,
-                        const std::string& body = "") {
+inline HttpResponse SendRequest(const EdgeVm& vm,
+                                const std::string& method,
+                                const std::string& path,
+                                const std::string& id,
+                                const std::string& body = "") {
   return CallOnce(vm.Outbound(), method, path, body,
                   {{"X-Request-Id", id}, {"X-Deadline-Ms", "2000"}});
 }
@@ -157,8 +159,8 @@
   // True when every node serves both services, knows its own upstream and has
   // opened its links; otherwise their logs are shown. A node serves before that
   // through the others.
-  bool Settle() {
-    if (this->WaitServed())
+  bool WaitUntilReady() {
+    if (this->PollUntilReady())
       return true;
     std::fprintf(stderr, "%s\n", this->Logs().c_str());
     return false;
@@ -166,7 +168,7 @@
 
   // What every node has printed. Nodes write their lines some time after what
   // they tell of, so it waits for those of request `id`.
-  [[nodiscard]] std::string LogsWith(const std::string& id) const {
+  [[nodiscard]] std::string WaitForLogs(const std::string& id) const {
     WaitUntil(
         [&] { return this->Logs().find("id=" + id) != std::string::npos; },
         std::chrono::seconds(2));
@@ -178,19 +180,19 @@
   [[nodiscard]] std::string Logs() const {
     std::string logs;
     for (const auto& vm : this->vms)
-      logs += vm->program->Output();
+      logs += vm->node->Output();
     return logs;
   }
 
  private:
-  bool WaitServed() {
+  bool PollUntilReady() {
     return WaitUntil([this] {
       for (const auto& vm : this->vms) {
         if (!vm->Ready() || vm->Metric("teaselspread_gate_slots") == 0 ||
             vm->Metric(R"(teaselspread_links_total{event="opened"})") + 1 <
                 this->vms.size() ||
-            Ask(*vm, "GET", "/view/x", "settle").status != 200 ||
-            Ask(*vm, "POST", "/load/x", "settle", "body").status != 200)
+            SendRequest(*vm, "GET", "/view/x", "settle").status != 200 ||
+            SendRequest(*vm, "POST", "/load/x", "settle", "body").status != 200)
           return false;
       }
       return true;
--- a/tests/process/edge_test.cc
+++ b/tests/process/edge_test.cc
@@ -16,12 +16,12 @@
 using standin::StoreFault;
 
 // The id of every request is its own; "settle" is used by the fleet itself.
-std::string NextId() {
+std::string NextRequestId() {
   static std::atomic<int> next{0};
   return "q-" + std::to_string(++next);
 }
 
-int RunsOf(EdgeFleet& fleet, const std::string& id) {
+int CountRuns(EdgeFleet& fleet, const std::string& id) {
   int runs = 0;
   for (const auto& vm : fleet.vms)
     runs += vm->upstream.CountRuns(id);
@@ -30,14 +30,14 @@
 
 Test(edge, serves_every_service_from_every_vm) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
-  const std::string id = NextId();
-  const HttpResponse answer =
-      Ask(fleet.At(0), "POST", "/load/exhibit?page=2", id, "the body");
-  cr_assert(answer.status == 200);
-  cr_assert_str_eq(answer.body.c_str(), "i-a2");
+  cr_assert(fleet.WaitUntilReady());
+  const std::string id = NextRequestId();
+  const HttpResponse response =
+      SendRequest(fleet.At(0), "POST", "/load/exhibit?page=2", id, "the body");
+  cr_assert(response.status == 200);
+  cr_assert_str_eq(response.body.c_str(), "i-a2");
   const std::string signature(
-      FindHeader(answer.headers, "X-Response-Signature"));
+      FindHeader(response.headers, "X-Response-Signature"));
   cr_assert(signature == "signed-" + id);
   for (const standin::MeshRun& run : fleet.At(1).upstream.Runs()) {
     if (run.id != id)
@@ -47,39 +47,46 @@
     cr_assert_str_eq(run.caller_service.c_str(), "desk");
     cr_assert(std::stoi(run.deadline) <= 2000);
   }
-  cr_assert(RunsOf(fleet, id) == 1);
-  cr_assert(Ask(fleet.At(0), "GET", "/nowhere/", NextId()).status == 404);
+  cr_assert(CountRuns(fleet, id) == 1);
+  cr_assert(
+      SendRequest(fleet.At(0), "GET", "/nowhere/", NextRequestId()).status ==
+      404);
 }
 
 // Operators add a route while the nodes run. Each node has it within two
 // seconds and never loses it again.
 Test(edge, a_new_configuration_is_in_force_everywhere) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   fleet.store.Put("keyed.op", "config", ConfigText("00000004", "/extra/"));
   for (const auto& vm : fleet.vms) {
     cr_assert(WaitUntil(
-        [&] { return Ask(*vm, "GET", "/extra/1", NextId()).status == 200; },
+        [&] {
+          return SendRequest(*vm, "GET", "/extra/1", NextRequestId()).status ==
+                 200;
+        },
         Ms(2000)));
   }
   // An older version is written after it; nobody goes back.
   fleet.store.Put("keyed.op", "config", ConfigText("00000002"));
   std::this_thread::sleep_for(Ms(300));
   for (const auto& vm : fleet.vms)
-    cr_assert(Ask(*vm, "GET", "/extra/1", NextId()).status == 200);
+    cr_assert(SendRequest(*vm, "GET", "/extra/1", NextRequestId()).status ==
+              200);
 }
 
 // The store forgets its history while a change is made. A node that only
 // followed the stream would never hear of it.
-Test(edge, a_change_in_a_forgotten_stretch_is_read_all_the_same) {
+Test(edge, a_change_among_expired_records_is_read) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   fleet.store.SetFault(StoreFault::kReset);
   fleet.store.Put("keyed.op", "config", ConfigText("00000009", "/extra/"));
   fleet.store.Forget("keyed.op");
   fleet.store.SetFault(StoreFault::kNone);
   cr_assert(WaitUntil([&] {
-    return Ask(fleet.At(2), "GET", "/extra/1", NextId()).status == 200;
+    return SendRequest(fleet.At(2), "GET", "/extra/1", NextRequestId())
+               .status == 200;
   }));
 }
 
@@ -89,7 +96,7 @@
 // the old configuration for many seconds more.
 Test(edge, a_change_during_a_silence_of_the_store_is_in_force_after_it) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   int version = 10;
   for (const int silent_ms : {1000, 3000, 8000}) {
     fleet.store.SetFault(StoreFault::kSilent);
@@ -98,13 +105,15 @@
     fleet.store.Put("keyed.op", "config", ConfigText(text, path));
     std::this_thread::sleep_for(Ms(silent_ms));
     fleet.store.SetFault(StoreFault::kNone);
-    const auto back = std::chrono::steady_clock::now();
+    const auto restored_at = std::chrono::steady_clock::now();
     for (const auto& vm : fleet.vms) {
-      cr_assert(WaitUntil(
-          [&] { return Ask(*vm, "GET", path + "1", NextId()).status == 200; }));
+      cr_assert(WaitUntil([&] {
+        return SendRequest(*vm, "GET", path + "1", NextRequestId()).status ==
+               200;
+      }));
     }
-    const auto passed = std::chrono::steady_clock::now() - back;
-    cr_assert(passed < Ms(3000), "after %d ms of silence", silent_ms);
+    const auto elapsed = std::chrono::steady_clock::now() - restored_at;
+    cr_assert(elapsed < Ms(3000), "after %d ms of silence", silent_ms);
   }
 }
 
@@ -114,13 +123,16 @@
   EdgeFleet fleet;
   for (const std::string name : {"a-3", "a-4", "a-5"})
     fleet.Add(name, "a", {"i-" + name, "desk"});
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   std::this_thread::sleep_for(Ms(1000));
   const int before = fleet.store.Calls();
   fleet.store.Put("keyed.op", "config", ConfigText("00000008", "/extra/"));
   for (const auto& vm : fleet.vms) {
     cr_assert(WaitUntil(
-        [&] { return Ask(*vm, "GET", "/extra/1", NextId()).status == 200; },
+        [&] {
+          return SendRequest(*vm, "GET", "/extra/1", NextRequestId()).status ==
+                 200;
+        },
         Ms(2000)));
   }
   // Two readers in one data centre, the only node of the other: each asked
@@ -130,14 +142,15 @@
 
 // A node is restarted while the store answers nobody. The others hold the
 // configuration and call it, so its callers are served again.
-Test(edge, a_node_that_starts_without_the_store_learns_from_the_others) {
+Test(edge, a_node_that_starts_without_the_store_asks_the_others) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   fleet.store.SetFault(StoreFault::kBusy);
   fleet.At(0).Restart();
   cr_assert(WaitUntil([&] {
     return fleet.At(0).Ready() &&
-           Ask(fleet.At(0), "POST", "/load/1", NextId(), "b").status == 200;
+           SendRequest(fleet.At(0), "POST", "/load/1", NextRequestId(), "b")
+                   .status == 200;
   }));
 }
 
@@ -145,27 +158,27 @@
 // service only, so until a node has links to others its callers are refused
 // whatever they ask for, and most of them come back once only. Nodes that wait
 // before they look for each other refuse a few hundred callers in vain.
-Test(edge, nodes_look_for_each_other_as_soon_as_they_are_known) {
+Test(edge, nodes_link_as_soon_as_they_are_registered) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   for (const auto& vm : fleet.vms) {
-    vm->program->Signal(SIGKILL);
-    (void)vm->program->WaitExit();
+    vm->node->Signal(SIGKILL);
+    (void)vm->node->WaitExit();
   }
   for (const auto& vm : fleet.vms)
     vm->Start();
-  const auto seen = [&](const std::string& event, std::size_t times) {
+  const auto seen = [&](const std::string& event, std::size_t min_nodes) {
     std::size_t count = 0;
     for (const auto& vm : fleet.vms)
-      count += vm->program->Output().find(event) != std::string::npos ? 1 : 0;
-    return count >= times;
+      count += vm->node->Output().find(event) != std::string::npos ? 1 : 0;
+    return count >= min_nodes;
   };
   cr_assert(WaitUntil([&] { return seen("event=registered", 3); }));
-  const auto registered = std::chrono::steady_clock::now();
+  const auto registered_at = std::chrono::steady_clock::now();
   cr_assert(WaitUntil([&] { return seen("event=link-up", 1); }));
-  const auto passed = std::chrono::steady_clock::now() - registered;
-  cr_assert(passed < Ms(200));
-  cr_assert(fleet.Settle());
+  const auto elapsed = std::chrono::steady_clock::now() - registered_at;
+  cr_assert(elapsed < Ms(200));
+  cr_assert(fleet.WaitUntilReady());
 }
 
 // A node is restarted while its upstream goes on working, and the upstream's
@@ -173,71 +186,74 @@
 // not wait for it.
 Test(edge, a_restarted_node_serves_before_the_next_heartbeat) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   for (const auto& vm : fleet.vms) {
     vm->upstream.BeSilent();
-    vm->program->Signal(SIGKILL);
-    (void)vm->program->WaitExit();
+    vm->node->Signal(SIGKILL);
+    (void)vm->node->WaitExit();
   }
   for (const auto& vm : fleet.vms)
     vm->Start();
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
 }
 
 // Before any configuration came a caller is told to come back: it would never
 // repeat a request after "no such route".
-Test(edge, without_a_configuration_callers_are_told_to_come_back) {
+Test(edge, without_a_configuration_callers_are_asked_to_retry) {
   standin::StoreService& store = *new standin::StoreService;
   EdgeVm vm("a-1", "a", {"i-a1", "desk"}, store.Port());
-  cr_assert(WaitUntil(
-      [&] { return Ask(vm, "GET", "/view/1", NextId()).status != 0; }));
-  const HttpResponse answer =
-      Ask(vm, "POST", "/view/1", NextId(), std::string(200000, 'x'));
-  cr_assert(answer.status == 503);
-  cr_assert(std::stod(std::string(FindHeader(answer.headers, "Retry-After"))) <
-            0.5);
+  cr_assert(WaitUntil([&] {
+    return SendRequest(vm, "GET", "/view/1", NextRequestId()).status != 0;
+  }));
+  const HttpResponse response = SendRequest(
+      vm, "POST", "/view/1", NextRequestId(), std::string(200000, 'x'));
+  cr_assert(response.status == 503);
+  cr_assert(std::stod(std::string(
+                FindHeader(response.headers, "Retry-After"))) < 0.5);
   cr_assert_not(vm.Ready());
 }
 
 // An upstream runs a request and its answer is lost. The caller's filing must
 // not be lodged twice, so it is not sent again; a read is.
-Test(edge, what_may_have_run_is_not_repeated) {
+Test(edge, a_request_that_may_have_run_is_not_retried) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   fleet.At(0).upstream.LoseAnswers(true);
   fleet.At(2).upstream.LoseAnswers(true);
-  const std::string lodge = NextId();
-  const int status = Ask(fleet.At(0), "POST", "/lodge/1", lodge, "b").status;
+  const std::string lodge = NextRequestId();
+  const int status =
+      SendRequest(fleet.At(0), "POST", "/lodge/1", lodge, "b").status;
   cr_assert(status == 502 || status == 504, "status %d\n%s", status,
-            fleet.LogsWith(lodge).c_str());
-  cr_assert(RunsOf(fleet, lodge) == 1, "%d runs\n%s", RunsOf(fleet, lodge),
-            fleet.LogsWith(lodge).c_str());
+            fleet.WaitForLogs(lodge).c_str());
+  cr_assert(CountRuns(fleet, lodge) == 1, "%d runs\n%s",
+            CountRuns(fleet, lodge), fleet.WaitForLogs(lodge).c_str());
   fleet.At(2).upstream.LoseAnswers(false);
   bool served = true;
   std::string view;
   for (int i = 0; i < 5 && served; ++i) {
-    view = NextId();
-    served = Ask(fleet.At(0), "GET", "/view/1", view).status == 200;
+    view = NextRequestId();
+    served = SendRequest(fleet.At(0), "GET", "/view/1", view).status == 200;
   }
-  cr_assert(served, "%s", fleet.LogsWith(view).c_str());
+  cr_assert(served, "%s", fleet.WaitForLogs(view).c_str());
 }
 
 // A restarted node does not know its upstream's version until the next
 // heartbeat. A read whose answer is lost there goes to the upstream of known
 // version instead of failing beside it.
-Test(edge, a_read_is_repeated_where_the_version_is_known) {
+Test(edge, a_read_is_retried_where_the_version_is_known) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   cr_assert(WaitUntil([&] {
     return fleet.At(2).Metrics().find("heartbeats_total") != std::string::npos;
   }));
   fleet.At(0).upstream.BeSilent();
   fleet.At(0).Restart();
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   fleet.At(0).upstream.LoseAnswers(true);
-  const std::string view = NextId();
-  const bool served = Ask(fleet.At(0), "GET", "/view/1", view).status == 200;
-  cr_assert(served, "%s", fleet.LogsWith(view).c_str());
+  const std::string view = NextRequestId();
+  const bool served =
+      SendRequest(fleet.At(0), "GET", "/view/1", view).status == 200;
+  cr_assert(served, "%s", fleet.WaitForLogs(view).c_str());
   cr_assert(fleet.At(0).upstream.CountRuns(view) == 1);
 }
 
@@ -246,7 +262,7 @@
 Test(edge, restarted_nodes_serve_after_a_move_has_ended) {
   for (const std::string end : {"complete", "rolled_back"}) {
     EdgeFleet fleet;
-    cr_assert(fleet.Settle());
+    cr_assert(fleet.WaitUntilReady());
     fleet.store.Put("keyed.op", "rollout/desk",
                     R"({"service":"desk","to":"v2","durationS":5})");
     fleet.store.Put("keyed.status", "rollout/desk",
@@ -255,32 +271,34 @@
       vm->upstream.BeSilent();
       vm->Restart();
     }
-    cr_assert(fleet.Settle(), "%s", end.c_str());
+    cr_assert(fleet.WaitUntilReady(), "%s", end.c_str());
   }
 }
 
 // An upstream answers 200 without its signature. Whatever that body is, it must
 // not reach a caller as a success.
-Test(edge, a_success_without_a_signature_is_none) {
+Test(edge, a_success_without_a_signature_is_rejected) {
   standin::StoreService& store = *new standin::StoreService;
   store.Put("keyed.op", "config", ConfigText("00000001"));
   EdgeVm vm("a-1", "a", {"i-a1", "desk"}, store.Port());
-  cr_assert(WaitUntil(
-      [&] { return Ask(vm, "GET", "/view/1", "settle").status == 200; }));
+  cr_assert(WaitUntil([&] {
+    return SendRequest(vm, "GET", "/view/1", "settle").status == 200;
+  }));
   vm.upstream.SignAnswers(false);
-  cr_assert(Ask(vm, "GET", "/view/1", NextId()).status == 502);
+  cr_assert(SendRequest(vm, "GET", "/view/1", NextRequestId()).status == 502);
 }
 
 // An upstream says that it leaves and is told that this is known. From that
 // moment on nothing new may reach it; callers are served by the others.
 Test(edge, nothing_reaches_an_upstream_after_its_leave_was_acknowledged) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   std::atomic<bool> stop{false};
   std::atomic<int> failed{0};
   std::thread load([&] {
     while (!stop) {
-      if (Ask(fleet.At(1), "GET", "/view/1", NextId()).status != 200)
+      if (SendRequest(fleet.At(1), "GET", "/view/1", NextRequestId()).status !=
+          200)
         ++failed;
     }
   });
@@ -299,23 +317,24 @@
 
 // An upstream ends without a word. Its port refuses connections, which proves
 // that nothing ran, so even a filing is placed elsewhere.
-Test(edge, a_dead_upstream_costs_nobody_an_answer) {
+Test(edge, requests_to_a_dead_upstream_are_served_elsewhere) {
   standin::StoreService& store = *new standin::StoreService;
   store.Put("keyed.op", "config", ConfigText("00000001"));
   EdgeVm alive("b-1", "b", {"i-b1", "desk"}, store.Port());
   auto dead = std::make_unique<EdgeVm>(
       "a-1", "a", standin::MeshUpstreamOptions{"i-a1", "desk"}, store.Port());
   cr_assert(WaitUntil([&] {
-    return Ask(*dead, "GET", "/view/1", "settle").body == "i-a1" &&
-           dead->program->Output().find("link-up") != std::string::npos &&
-           Ask(alive, "GET", "/view/1", "settle").body == "i-b1";
+    return SendRequest(*dead, "GET", "/view/1", "settle").body == "i-a1" &&
+           dead->node->Output().find("link-up") != std::string::npos &&
+           SendRequest(alive, "GET", "/view/1", "settle").body == "i-b1";
   }));
   dead->upstream.BeSilent();
   dead->upstream.Close();
   for (int i = 0; i < 20; ++i) {
-    const HttpResponse answer = Ask(*dead, "POST", "/lodge/1", NextId(), "b");
-    cr_assert(answer.status == 200, "%d: %d %s\n%s", i, answer.status,
-              answer.body.c_str(), dead->program->Output().c_str());
+    const HttpResponse response =
+        SendRequest(*dead, "POST", "/lodge/1", NextRequestId(), "b");
+    cr_assert(response.status == 200, "%d: %d %s\n%s", i, response.status,
+              response.body.c_str(), dead->node->Output().c_str());
   }
 }
 
@@ -328,28 +347,30 @@
     const std::string number = std::to_string(i);
     fleet.Add("c-" + number, "c", {"i-c" + number, "desk"});
   }
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   for (const auto& vm : fleet.vms)
     vm->upstream.CrashOn("/view/poison");
   for (int i = 0; i < 12; ++i) {
-    (void)Ask(fleet.At(1), "GET", "/view/poison", NextId());
+    (void)SendRequest(fleet.At(1), "GET", "/view/poison", NextRequestId());
     std::this_thread::sleep_for(Ms(300));
   }
   int alive = 0;
   for (const auto& vm : fleet.vms)
     alive += vm->service == "desk" && !vm->upstream.Crashed() ? 1 : 0;
   cr_assert(alive >= 2, "%d of 5 are left", alive);
-  cr_assert(Ask(fleet.At(1), "GET", "/view/1", NextId()).status == 200);
+  cr_assert(
+      SendRequest(fleet.At(1), "GET", "/view/1", NextRequestId()).status ==
+      200);
   const HttpResponse refused =
-      Ask(fleet.At(1), "GET", "/view/poison", NextId());
+      SendRequest(fleet.At(1), "GET", "/view/poison", NextRequestId());
   cr_assert(refused.status == 503);
 }
 
 // A node is stopped as planned while callers use it. Each request that it read
 // gets its answer, and the process ends by itself before it would be killed.
-Test(edge, a_planned_stop_cuts_no_request) {
+Test(edge, a_planned_stop_completes_requests) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   std::atomic<bool> stop{false};
   std::atomic<int> cut{0};
   std::vector<std::thread> callers;
@@ -361,13 +382,14 @@
         HttpRequest request;
         request.method = "POST";
         request.target = "/lodge/1";
-        request.headers = {{"X-Request-Id", NextId()},
+        request.headers = {{"X-Request-Id", NextRequestId()},
                            {"X-Deadline-Ms", "2000"}};
         CallOptions options;
         options.timeout = Ms(3000);
-        const auto answer = pool.Send(fleet.At(0).Outbound(), request, options);
-        if (!answer) {
-          const ErrorKind kind = answer.error().kind;
+        const auto response =
+            pool.Send(fleet.At(0).Outbound(), request, options);
+        if (!response) {
+          const ErrorKind kind = response.error().kind;
           cut += kind == ErrorKind::kConnectFailed ? 0 : 1;
           std::this_thread::sleep_for(Ms(20));
         }
@@ -375,9 +397,9 @@
     });
   }
   std::this_thread::sleep_for(Ms(200));
-  fleet.At(0).program->Signal(SIGTERM);
+  fleet.At(0).node->Signal(SIGTERM);
   cr_assert(WaitUntil([&] { return !fleet.At(0).Ready(); }, Ms(500)));
-  cr_assert(fleet.At(0).program->WaitExit(Ms(6000)) == 0);
+  cr_assert(fleet.At(0).node->WaitExit(Ms(6000)) == 0);
   stop = true;
   for (std::thread& caller : callers)
     caller.join();
@@ -387,24 +409,24 @@
 
 // A version is moved in within some seconds, and the operator reads the end of
 // it in the store.
-Test(edge, a_good_move_is_done_and_told) {
+Test(edge, a_good_move_is_completed_and_reported) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
-  standin::MeshUpstreamOptions fresh{"i-a3", "desk"};
-  fresh.version = "v2";
-  const EdgeVm& added = fleet.Add("a-3", "a", fresh);
+  cr_assert(fleet.WaitUntilReady());
+  standin::MeshUpstreamOptions new_version{"i-a3", "desk"};
+  new_version.version = "v2";
+  const EdgeVm& added = fleet.Add("a-3", "a", new_version);
   // Its version is known from the first heartbeat on.
   cr_assert(WaitUntil([&] {
     return added.Metrics().find("heartbeats_total") != std::string::npos;
   }));
-  cr_assert(fleet.Settle());
+  cr_assert(fleet.WaitUntilReady());
   cr_assert(fleet.At(3).upstream.Runs().empty(), "v2 served before its order");
   fleet.store.Put("keyed.op", "rollout/desk",
                   R"({"service":"desk","to":"v2","durationS":5})");
   std::atomic<bool> stop{false};
   std::thread load([&] {
     while (!stop)
-      (void)Ask(fleet.At(1), "GET", "/view/1", NextId());
+      (void)SendRequest(fleet.At(1), "GET", "/view/1", NextRequestId());
   });
   const bool done = WaitUntil([&] {
     return fleet.store.Get("keyed.status", "rollout/desk").find("complete") !=
@@ -413,125 +435,127 @@
   stop = true;
   load.join();
   cr_assert(done);
-  cr_assert(Ask(fleet.At(0), "GET", "/view/1", NextId()).body == "i-a3");
+  cr_assert(SendRequest(fleet.At(0), "GET", "/view/1", NextRequestId()).body ==
+            "i-a3");
 }
 
 // The new version fails. It is taken back, and from then on gets nothing.
-Test(edge, a_bad_move_is_taken_back_and_told) {
+Test(edge, a_failing_move_is_rolled_back_and_reported) {
   EdgeFleet fleet;
-  standin::MeshUpstreamOptions fresh{"i-a3", "desk"};
-  fresh.version = "v2";
-  EdgeVm& bad = fleet.Add("a-3", "a", fresh);
-  bad.upstream.Fail(true);
-  cr_assert(fleet.Settle());
+  standin::MeshUpstreamOptions new_version{"i-a3", "desk"};
+  new_version.version = "v2";
+  EdgeVm& failing = fleet.Add("a-3", "a", new_version);
+  failing.upstream.Fail(true);
+  cr_assert(fleet.WaitUntilReady());
   fleet.store.Put("keyed.op", "rollout/desk",
                   R"({"service":"desk","to":"v2","durationS":8})");
   std::atomic<bool> stop{false};
   std::thread load([&] {
     while (!stop)
-      (void)Ask(fleet.At(1), "GET", "/view/1", NextId());
+      (void)SendRequest(fleet.At(1), "GET", "/view/1", NextRequestId());
   });
-  const bool told = WaitUntil([&] {
+  const bool reported = WaitUntil([&] {
     return fleet.store.Get("keyed.status", "rollout/desk")
                .find("rolled_back") != std::string::npos;
   });
   std::this_thread::sleep_for(Ms(300));
-  const std::size_t before = bad.upstream.Runs().size();
+  const std::size_t before = failing.upstream.Runs().size();
   std::this_thread::sleep_for(Ms(500));
   stop = true;
   load.join();
-  cr_assert(told);
-  cr_assert(bad.upstream.Runs().size() == before);
+  cr_assert(reported);
+  cr_assert(failing.upstream.Runs().size() == before);
 }
 
 // Asks for "desk" at one node until it goes.
-class Load {
+class BackgroundLoad {
  public:
-  explicit Load(EdgeVm& vm)
+  explicit BackgroundLoad(EdgeVm& vm)
       : thread([this, &vm] {
           while (!this->stop)
-            (void)Ask(vm, "GET", "/view/1", NextId());
+            (void)SendRequest(vm, "GET", "/view/1", NextRequestId());
         }) {}
-  ~Load() {
+  ~BackgroundLoad() {
     this->stop = true;
     this->thread.join();
   }
-  Load(const Load&) = delete;
-  Load& operator=(const Load&) = delete;
+  BackgroundLoad(const BackgroundLoad&) = delete;
+  BackgroundLoad& operator=(const BackgroundLoad&) = delete;
 
  private:
   std::atomic<bool> stop{false};
   std::thread thread;
 };
 
-std::string ReportIn(EdgeFleet& fleet) {
+std::string StoredReport(EdgeFleet& fleet) {
   return fleet.store.Get("keyed.status", "rollout/desk");
 }
 
-bool WaitTold(EdgeFleet& fleet, const std::string& state) {
+bool WaitForReport(EdgeFleet& fleet, const std::string& state) {
   return WaitUntil(
-      [&] { return ReportIn(fleet).find(state) != std::string::npos; });
+      [&] { return StoredReport(fleet).find(state) != std::string::npos; });
 }
 
-EdgeVm& AddBadVersion(EdgeFleet& fleet) {
-  standin::MeshUpstreamOptions fresh{"i-a3", "desk"};
-  fresh.version = "v2";
-  EdgeVm& bad = fleet.Add("a-3", "a", fresh);
-  bad.upstream.Fail(true);
-  return bad;
+EdgeVm& AddFailingVersion(EdgeFleet& fleet) {
+  standin::MeshUpstreamOptions new_version{"i-a3", "desk"};
+  new_version.version = "v2";
+  EdgeVm& failing = fleet.Add("a-3", "a", new_version);
+  failing.upstream.Fail(true);
+  return failing;
 }
 
-constexpr const char* kOrder = R"({"service":"desk","to":"v2","durationS":8})";
+constexpr const char* kMoveOrder =
+    R"({"service":"desk","to":"v2","durationS":8})";
 
 // The store is away at the moment of the verdict. Nobody may wait for it: the
 // version gets nothing more, and the report follows when the store is back.
 Test(edge, a_verdict_does_not_wait_for_the_store) {
   EdgeFleet fleet;
-  EdgeVm& bad = AddBadVersion(fleet);
-  cr_assert(fleet.Settle());
-  fleet.store.Put("keyed.op", "rollout/desk", kOrder);
-  cr_assert(WaitTold(fleet, "running"));
-  const Load load(fleet.At(1));
+  EdgeVm& failing = AddFailingVersion(fleet);
+  cr_assert(fleet.WaitUntilReady());
+  fleet.store.Put("keyed.op", "rollout/desk", kMoveOrder);
+  cr_assert(WaitForReport(fleet, "running"));
+  const BackgroundLoad load(fleet.At(1));
   fleet.store.SetFault(StoreFault::kReset);
   cr_assert(WaitUntil([&] {
-    return fleet.At(1).program->Output().find("progress=taken-back") !=
+    return fleet.At(1).node->Output().find("progress=taken-back") !=
            std::string::npos;
   }));
   std::this_thread::sleep_for(Ms(300));
-  const std::size_t before = bad.upstream.Runs().size();
+  const std::size_t before = failing.upstream.Runs().size();
   std::this_thread::sleep_for(Ms(300));
-  cr_assert(bad.upstream.Runs().size() == before);
+  cr_assert(failing.upstream.Runs().size() == before);
   fleet.store.SetFault(StoreFault::kNone);
-  cr_assert(WaitTold(fleet, "rolled_back"));
+  cr_assert(WaitForReport(fleet, "rolled_back"));
 }
 
 // The store does what it is asked and its answers are lost. What stands there
 // in the end is the verdict, once, whoever wrote it.
-Test(edge, a_report_whose_answer_is_lost_stands) {
+Test(edge, a_report_whose_response_is_lost_is_kept) {
   EdgeFleet fleet;
-  (void)AddBadVersion(fleet);
-  cr_assert(fleet.Settle());
-  fleet.store.Put("keyed.op", "rollout/desk", kOrder);
-  cr_assert(WaitTold(fleet, "running"));
-  const Load load(fleet.At(1));
+  (void)AddFailingVersion(fleet);
+  cr_assert(fleet.WaitUntilReady());
+  fleet.store.Put("keyed.op", "rollout/desk", kMoveOrder);
+  cr_assert(WaitForReport(fleet, "running"));
+  const BackgroundLoad load(fleet.At(1));
   fleet.store.SetFault(StoreFault::kLosing);
-  cr_assert(WaitTold(fleet, "rolled_back"));
+  cr_assert(WaitForReport(fleet, "rolled_back"));
   fleet.store.SetFault(StoreFault::kNone);
   std::this_thread::sleep_for(Ms(1000));
-  cr_assert(ReportIn(fleet).find("rolled_back") != std::string::npos);
+  cr_assert(StoredReport(fleet).find("rolled_back") != std::string::npos);
 }
 
 // The node that reports a move dies before the verdict. Another takes its
 // place.
 Test(edge, another_node_reports_when_the_first_is_gone) {
   EdgeFleet fleet;
-  (void)AddBadVersion(fleet);
-  cr_assert(fleet.Settle());
-  fleet.store.Put("keyed.op", "rollout/desk", kOrder);
-  cr_assert(WaitTold(fleet, "running"));
-  fleet.At(0).program->Signal(SIGKILL);
-  const Load load(fleet.At(1));
-  cr_assert(WaitTold(fleet, "rolled_back"));
+  (void)AddFailingVersion(fleet);
+  cr_assert(fleet.WaitUntilReady());
+  fleet.store.Put("keyed.op", "rollout/desk", kMoveOrder);
+  cr_assert(WaitForReport(fleet, "running"));
+  fleet.At(0).node->Signal(SIGKILL);
+  const BackgroundLoad load(fleet.At(1));
+  cr_assert(WaitForReport(fleet, "rolled_back"));
 }
 
 // One slot, and four requests for it of 150 ms each. Then a request that runs
@@ -546,18 +570,20 @@
   slow.work = Ms(150);
   EdgeVm called("a-2", "a", slow, store.Port());
   cr_assert(WaitUntil([&] {
-    return Ask(caller, "GET", "/view/1", "settle").status == 200 &&
-           Ask(caller, "POST", "/load/1", "settle", "b").status == 200;
+    return SendRequest(caller, "GET", "/view/1", "settle").status == 200 &&
+           SendRequest(caller, "POST", "/load/1", "settle", "b").status == 200;
   }));
   caller.upstream.SetWork(Ms(1500));
   std::vector<std::thread> callers;
   callers.reserve(5);
-  callers.emplace_back([&] { (void)Ask(caller, "GET", "/view/1", "parent"); });
+  callers.emplace_back(
+      [&] { (void)SendRequest(caller, "GET", "/view/1", "parent"); });
   cr_assert(
       WaitUntil([&] { return caller.upstream.CountRuns("parent") == 1; }));
   for (int i = 0; i < 4; ++i) {
-    callers.emplace_back(
-        [&] { (void)Ask(caller, "POST", "/load/1", NextId(), "b"); });
+    callers.emplace_back([&] {
+      (void)SendRequest(caller, "POST", "/load/1", NextRequestId(), "b");
+    });
   }
   cr_assert(WaitUntil([&] {
     return caller.Metrics().find("teaselspread_requests_total") !=
@@ -565,39 +591,42 @@
            called.Metrics().find("teaselspread_gate_waiting 3") !=
                std::string::npos;
   }));
-  const HttpResponse answer =
-      Ask(caller, "POST", "/load/1", "parent.call", "b");
-  cr_assert(answer.status == 200);
-  const std::vector<standin::MeshRun> then = called.upstream.Runs();
+  const HttpResponse response =
+      SendRequest(caller, "POST", "/load/1", "parent.call", "b");
+  cr_assert(response.status == 200);
+  const std::vector<standin::MeshRun> runs_before = called.upstream.Runs();
   for (std::thread& thread : callers)
     thread.join();
-  const std::size_t after = called.upstream.Runs().size() - then.size();
-  cr_assert(after >= 2, "%d of the others ran after it",
-            static_cast<int>(after));
+  const std::size_t runs_after =
+      called.upstream.Runs().size() - runs_before.size();
+  cr_assert(runs_after >= 2, "%d of the others ran after it",
+            static_cast<int>(runs_after));
 }
 
 // Another process introduces itself with an address that is none. Taken as it
 // is, the first attempt to connect there ended this node and all its requests.
-Test(edge, a_node_without_an_address_harms_nobody) {
+Test(edge, a_peer_with_an_invalid_address_is_harmless) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
-  const RawSocket stranger = RawSocket::ConnectTo(fleet.At(0).ports.link);
-  stranger.Send(EncodeLinkFrame(Hello{"x-1", "x", {"nowhere", 80}}));
-  stranger.Send("\xff\xff\xff\xff not a frame");
-  (void)stranger.ReadToEnd();
-  cr_assert_not(fleet.At(0).program->Exited());
-  cr_assert(Ask(fleet.At(0), "GET", "/view/1", NextId()).status == 200);
+  cr_assert(fleet.WaitUntilReady());
+  const RawSocket peer = RawSocket::ConnectTo(fleet.At(0).ports.link);
+  peer.Send(EncodeLinkFrame(Hello{"x-1", "x", {"nowhere", 80}}));
+  peer.Send("\xff\xff\xff\xff not a frame");
+  (void)peer.ReadToEnd();
+  cr_assert_not(fleet.At(0).node->Exited());
+  cr_assert(
+      SendRequest(fleet.At(0), "GET", "/view/1", NextRequestId()).status ==
+      200);
 }
 
 // On-call have an id and nothing else. One line of the entry's log names the
 // route, the node, the upstream and the outcome; counters stand beside it.
 Test(edge, a_request_can_be_found_in_the_log_and_in_the_counters) {
   EdgeFleet fleet;
-  cr_assert(fleet.Settle());
-  const std::string id = NextId();
-  cr_assert(Ask(fleet.At(0), "GET", "/nowhere/1", id).status == 404);
+  cr_assert(fleet.WaitUntilReady());
+  const std::string id = NextRequestId();
+  cr_assert(SendRequest(fleet.At(0), "GET", "/nowhere/1", id).status == 404);
   cr_assert(WaitUntil([&] {
-    const std::string log = fleet.At(0).program->Output();
+    const std::string log = fleet.At(0).node->Output();
     const std::size_t at = log.find("id=" + id);
     return at != std::string::npos &&
            log.find("reason=no-route", at) != std::string::npos;
--- a/tests/process/slow_copies_test.cc
+++ b/tests/process/slow_copies_test.cc
@@ -18,20 +18,20 @@
 
 // A node that holds the configuration `version` and sends it over a line so
 // narrow that one copy takes two seconds.
-class NarrowPeer {
+class SlowPeer {
  public:
   // The first `passed_over` questions get no answer, the next one gets one.
-  NarrowPeer(std::string name,
-             ConfigVersion holds,
-             std::string text,
-             int passed_over = 0)
+  SlowPeer(std::string name,
+           ConfigVersion held_version,
+           std::string text,
+           int ignored = 0)
       : node(std::move(name)),
-        version(holds),
-        record(std::move(text)),
-        deaf_for(passed_over),
+        version(held_version),
+        config_text(std::move(text)),
+        ignored_asks(ignored),
         peer([this](const RawSocket& socket, int) { this->Serve(socket); }) {}
 
-  [[nodiscard]] int Asks() const { return this->asks; }
+  [[nodiscard]] int ConfigAsks() const { return this->asks; }
   [[nodiscard]] int Pings() const { return this->pings; }
   [[nodiscard]] std::string Record() const {
     return "a " + ToString(this->peer.At());
@@ -42,20 +42,21 @@
     std::string bytes;
     while (!this->peer.Stopping()) {
       bytes += socket.ReadUntil(
-          [](const std::string& some) { return !some.empty(); }, Ms(20));
-      while (this->TakeFrame(socket, bytes)) {
+          [](const std::string& received) { return !received.empty(); },
+          Ms(20));
+      while (this->HandleFrame(socket, bytes)) {
       }
-      if (this->peer.Stopping() || !this->StillThere(socket))
+      if (this->peer.Stopping() || !this->Connected(socket))
         return;
     }
   }
 
-  [[nodiscard]] bool StillThere(const RawSocket& socket) const {
+  [[nodiscard]] bool Connected(const RawSocket& socket) const {
     pollfd entry{socket.Fd(), POLLRDHUP, 0};
     return ::poll(&entry, 1, 0) == 0 || (entry.revents & POLLRDHUP) == 0;
   }
 
-  bool TakeFrame(const RawSocket& socket, std::string& bytes) {
+  bool HandleFrame(const RawSocket& socket, std::string& bytes) {
     if (bytes.size() < kFrameLengthBytes)
       return false;
     std::size_t length = 0;
@@ -76,15 +77,15 @@
       socket.Send(EncodeLinkFrame(PongFrame{ping->sequence}));
       ++this->pings;
     } else if (std::holds_alternative<ConfigAsk>(*frame)) {
-      if (this->asks++ == this->deaf_for)
+      if (this->asks++ == this->ignored_asks)
         this->SendSlowly(socket);
     }
     return true;
   }
 
   void SendSlowly(const RawSocket& socket) const {
-    const std::string copy =
-        EncodeLinkFrame(*PackCopy(this->version, {"config", this->record}, ""));
+    const std::string copy = EncodeLinkFrame(
+        *PackCopy(this->version, {"config", this->config_text}, ""));
     const std::size_t slice = copy.size() / kSlices + 1;
     for (std::size_t at = 0; at < copy.size(); at += slice) {
       if (!socket.Send(copy.substr(at, slice)))
@@ -95,57 +96,57 @@
 
   std::string node;
   ConfigVersion version;
-  std::string record;
-  int deaf_for;
+  std::string config_text;
+  int ignored_asks;
   std::atomic<int> asks{0};
   std::atomic<int> pings{0};
   ScriptedPeer peer;
 };
 
-bool Holds(const EdgeVm& vm, const std::string& version) {
+bool HasVersion(const EdgeVm& vm, const std::string& version) {
   return vm.Metrics().find("teaselspread_config_version " + version + "\n") !=
          std::string::npos;
 }
 
 // Guards against copies of one configuration that pile up at the node that
 // asks: the next is asked for while the last is on its way over a narrow line.
-Test(slow_copies, a_copy_under_way_is_not_asked_for_again) {
-  NarrowPeer peer("a-0", 2, ConfigText("00000002"));
+Test(slow_copies, a_copy_in_flight_is_not_requested_again) {
+  SlowPeer peer("a-0", 2, ConfigText("00000002"));
   auto& store = *new standin::StoreService;
   store.Put("keyed.op", "config", ConfigText("00000001"));
   store.Put("keyed.nodes", "a-0", peer.Record());
   const EdgeVm vm("a-1", "a", {"i-a1", "desk"}, store.Port());
-  cr_assert(WaitUntil([&] { return Holds(vm, "2"); }));
+  cr_assert(WaitUntil([&] { return HasVersion(vm, "2"); }));
   // What was sent before a ping has been read when the ping is answered; some
   // pings may have waited behind the copy.
-  constexpr int kSomePings = 3;
-  const int enough = peer.Pings() + kSomePings;
-  cr_assert(WaitUntil([&] { return peer.Pings() >= enough; }));
-  cr_assert(peer.Asks() == 1, "asked %d times", peer.Asks());
+  constexpr int kExtraPings = 3;
+  const int min_pings = peer.Pings() + kExtraPings;
+  cr_assert(WaitUntil([&] { return peer.Pings() >= min_pings; }));
+  cr_assert(peer.ConfigAsks() == 1, "asked %d times", peer.ConfigAsks());
 }
 
 // Guards against a node that keeps its old configuration because the one that
 // it asked works, answers pings, and never answers the question.
-Test(slow_copies, a_question_that_is_passed_over_is_asked_again) {
-  NarrowPeer peer("a-0", 2, ConfigText("00000002"), 1);
+Test(slow_copies, an_ignored_request_is_sent_again) {
+  SlowPeer peer("a-0", 2, ConfigText("00000002"), 1);
   auto& store = *new standin::StoreService;
   store.Put("keyed.op", "config", ConfigText("00000001"));
   store.Put("keyed.nodes", "a-0", peer.Record());
   const EdgeVm vm("a-1", "a", {"i-a1", "desk"}, store.Port());
-  cr_assert(WaitUntil([&] { return Holds(vm, "2"); }));
-  cr_assert(peer.Asks() == 2, "asked %d times", peer.Asks());
+  cr_assert(WaitUntil([&] { return HasVersion(vm, "2"); }));
+  cr_assert(peer.ConfigAsks() == 2, "asked %d times", peer.ConfigAsks());
 }
 
 // Guards against reads that are given up and sent again while their answer
 // comes over a narrow line: each of them makes the others later.
-Test(slow_copies, an_answer_of_the_store_under_way_is_not_asked_for_again) {
+Test(slow_copies, a_store_response_in_flight_is_not_requested_again) {
   auto& store = *new standin::StoreService;
   constexpr int kBytesPerSecond = 200'000;
   const std::string long_path = "/" + std::string(350'000, 'x') + "/";
   store.Put("keyed.op", "config", ConfigText("00000001", long_path));
   store.SetPace("keyed.op", kBytesPerSecond);
   const EdgeVm vm("a-1", "a", {"i-a1", "desk"}, store.Port());
-  cr_assert(WaitUntil([&] { return Holds(vm, "1"); }));
+  cr_assert(WaitUntil([&] { return HasVersion(vm, "1"); }));
   const int reads = store.CallsOf("/log-newest", "keyed.op");
   cr_assert(reads == 1, "read %d times", reads);
 }
