--- a/tests/contract/platform_test.cc
+++ b/tests/contract/platform_test.cc
@@ -56,8 +56,8 @@
   cr_assert(snapshot->services.at("desk").connections == 130);
 }
 
-// Records of other writers, or of a later release, stand beside the good ones.
-// They must neither stop the process nor change what is in force.
+// Guards against records of other writers, or of a later release, that stop the
+// process or change what is in force.
 Test(platform, unreadable_records_are_not_applied) {
   for (const char* text : {"", "{", "[]", "7", "\xff\xfe", "{}",
                            R"({"version": 12})", R"({"version": "xyz"})"}) {
--- a/tests/process/edge_fleet.h
+++ b/tests/process/edge_fleet.h
@@ -1,4 +1,5 @@
-// Some nodes with their upstreams and a store, all on loopback. Tests only.
+// A fixture of several nodes with their upstreams and a store, all on loopback.
+// Tests only.
 #ifndef TEASELSPREAD_TESTS_PROCESS_EDGE_FLEET_H_
 #define TEASELSPREAD_TESTS_PROCESS_EDGE_FLEET_H_
 
@@ -24,7 +25,7 @@
   std::uint16_t link = ClaimPort();
 };
 
-// One VM: an upstream and the node beside it, which can be started again.
+// One VM: an upstream and the node beside it, which can be restarted.
 class EdgeVm {
  public:
   EdgeVm(const std::string& vm_name,
@@ -61,7 +62,7 @@
         std::vector<std::string>{"--settings=" + this->settings_path});
   }
 
-  // Kills the node and starts it again.
+  // Kills the node with SIGKILL and starts it again.
   void Restart() {
     this->node->Signal(SIGKILL);
     (void)this->node->WaitExit();
@@ -81,7 +82,8 @@
     return CallOnce({"127.0.0.1", this->ports.metrics}, "GET", "/metrics").body;
   }
 
-  // The value that follows `name` and a blank on the metrics page, 0 for none.
+  // The value of `name`, including any labels, on the metrics page; 0 if
+  // absent.
   [[nodiscard]] std::size_t Metric(const std::string& name) const {
     const std::string page = "\n" + this->Metrics();
     const std::size_t at = page.find("\n" + name + " ");
@@ -99,8 +101,8 @@
   std::unique_ptr<Program> node;
 };
 
-// The configuration `version` with a route of each kind. `extra` is one more
-// route's path, or "".
+// The configuration `version` with a route of each type. `extra` is the path
+// prefix of an additional route, or "" for none.
 inline std::string ConfigText(const std::string& version,
                               const std::string& extra = "") {
   const auto route = [](const std::string& name, const std::string& type,
@@ -156,9 +158,9 @@
 
   [[nodiscard]] EdgeVm& At(std::size_t index) { return *this->vms.at(index); }
 
-  // True when every node serves both services, knows its own upstream and has
-  // opened its links; otherwise their logs are shown. A node serves before that
-  // through the others.
+  // Waits until every node serves both services, knows its own upstream and has
+  // opened its links. On a time-out prints the logs and returns false. Served
+  // requests alone prove too little: a node also serves through the others.
   bool WaitUntilReady() {
     if (this->PollUntilReady())
       return true;
@@ -166,13 +168,13 @@
     return false;
   }
 
-  // What every node has printed. Nodes write their lines some time after what
-  // they tell of, so it waits for those of request `id`.
+  // The output of all nodes. Log lines are written some time after the event,
+  // so it waits for those of request `id`.
   [[nodiscard]] std::string WaitForLogs(const std::string& id) const {
     WaitUntil(
         [&] { return this->Logs().find("id=" + id) != std::string::npos; },
         std::chrono::seconds(2));
-    // The others write theirs as late.
+    // Lines of the other nodes may be delayed as long.
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     return this->Logs();
   }
--- a/tests/process/edge_test.cc
+++ b/tests/process/edge_test.cc
@@ -15,7 +15,7 @@
 using Ms = std::chrono::milliseconds;
 using standin::StoreFault;
 
-// The id of every request is its own; "settle" is used by the fleet itself.
+// A unique request id; EdgeFleet itself uses "settle".
 std::string NextRequestId() {
   static std::atomic<int> next{0};
   return "q-" + std::to_string(++next);
@@ -53,8 +53,8 @@
       404);
 }
 
-// Operators add a route while the nodes run. Each node has it within two
-// seconds and never loses it again.
+// Guards against a route, added while the nodes run, that a node doesn't serve
+// within two seconds or loses again.
 Test(edge, a_new_configuration_is_in_force_everywhere) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -67,7 +67,7 @@
         },
         Ms(2000)));
   }
-  // An older version is written after it; nobody goes back.
+  // An older version that is written later must not replace it.
   fleet.store.Put("keyed.op", "config", ConfigText("00000002"));
   std::this_thread::sleep_for(Ms(300));
   for (const auto& vm : fleet.vms)
@@ -75,8 +75,8 @@
               200);
 }
 
-// The store forgets its history while a change is made. A node that only
-// followed the stream would never hear of it.
+// Guards against a change that is missed because the store drops its history
+// meanwhile: a node that only follows the stream would never receive it.
 Test(edge, a_change_among_expired_records_is_read) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -90,10 +90,9 @@
   }));
 }
 
-// The store falls silent while its readers wait for news, a configuration is
-// written meanwhile, and then the store is back. The reads that were open get
-// no answer, and neither do their connections: nodes that wait on them serve
-// the old configuration for many seconds more.
+// Guards against nodes that serve an old configuration for many seconds after
+// the store was silent. The configuration is written during the silence, and
+// reads that were open then get no response, and their connections stay silent.
 Test(edge, a_change_during_a_silence_of_the_store_is_in_force_after_it) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -117,8 +116,9 @@
   }
 }
 
-// Every call to the store costs its owners, and what one node has read it can
-// tell the others: with five nodes in a data centre a change is read twice.
+// Guards against needless reads, as each call to the store costs its owners:
+// nodes can send each other what they read, so with five nodes in a data centre
+// a change is read twice.
 Test(edge, a_change_is_read_by_two_nodes_of_a_data_centre) {
   EdgeFleet fleet;
   for (const std::string name : {"a-3", "a-4", "a-5"})
@@ -135,13 +135,13 @@
         },
         Ms(2000)));
   }
-  // Two readers in one data centre, the only node of the other: each asked
-  // again after the news, and the first ones may have renewed their read.
+  // Two readers in one data centre and the only node of the other: each reads
+  // again after the change, and the first ones may have renewed their read.
   cr_assert_leq(fleet.store.Calls() - before, 8);
 }
 
-// A node is restarted while the store answers nobody. The others hold the
-// configuration and call it, so its callers are served again.
+// A node restarts while the store refuses all calls. The other nodes hold the
+// configuration and connect to it, so its callers are served again.
 Test(edge, a_node_that_starts_without_the_store_asks_the_others) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -154,10 +154,10 @@
   }));
 }
 
-// All processes die at once and start again. Each VM has an upstream of one
-// service only, so until a node has links to others its callers are refused
-// whatever they ask for, and most of them come back once only. Nodes that wait
-// before they look for each other refuse a few hundred callers in vain.
+// Guards against a delay before nodes connect to each other after all of them
+// restarted at once. Each VM has an upstream of one service only, so a node
+// without links refuses all its callers, and most of them retry only once: a
+// few hundred requests would fail needlessly.
 Test(edge, nodes_link_as_soon_as_they_are_registered) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -181,9 +181,9 @@
   cr_assert(fleet.WaitUntilReady());
 }
 
-// A node is restarted while its upstream goes on working, and the upstream's
-// next heartbeat is still to come. The upstream is asked instead, so callers do
-// not wait for it.
+// Nodes restart while their upstreams keep running and send no heartbeat. Each
+// node queries its upstream instead, so that callers don't wait for the next
+// heartbeat.
 Test(edge, a_restarted_node_serves_before_the_next_heartbeat) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -197,8 +197,8 @@
   cr_assert(fleet.WaitUntilReady());
 }
 
-// Before any configuration came a caller is told to come back: it would never
-// repeat a request after "no such route".
+// A node without a configuration responds with 503 and Retry-After: callers
+// never retry after "no such route".
 Test(edge, without_a_configuration_callers_are_asked_to_retry) {
   standin::StoreService& store = *new standin::StoreService;
   EdgeVm vm("a-1", "a", {"i-a1", "desk"}, store.Port());
@@ -213,8 +213,8 @@
   cr_assert_not(vm.Ready());
 }
 
-// An upstream runs a request and its answer is lost. The caller's filing must
-// not be lodged twice, so it is not sent again; a read is.
+// Guards against a non-idempotent request that runs twice because its response
+// was lost. A read is retried.
 Test(edge, a_request_that_may_have_run_is_not_retried) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -238,8 +238,8 @@
 }
 
 // A restarted node does not know its upstream's version until the next
-// heartbeat. A read whose answer is lost there goes to the upstream of known
-// version instead of failing beside it.
+// heartbeat. Guards against a read that fails when its response is lost there,
+// although an upstream of known version is left to retry it.
 Test(edge, a_read_is_retried_where_the_version_is_known) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -257,8 +257,8 @@
   cr_assert(fleet.At(0).upstream.CountRuns(view) == 1);
 }
 
-// All nodes restart between two heartbeats of their upstreams, some time after
-// a move ended. Nobody knows a version, and all the same callers are served.
+// Guards against refused callers when all nodes restart between two heartbeats
+// of their upstreams after a move has ended, as no node knows a version then.
 Test(edge, restarted_nodes_serve_after_a_move_has_ended) {
   for (const std::string end : {"complete", "rolled_back"}) {
     EdgeFleet fleet;
@@ -275,8 +275,8 @@
   }
 }
 
-// An upstream answers 200 without its signature. Whatever that body is, it must
-// not reach a caller as a success.
+// Guards against a 200 response without the upstream's signature that reaches a
+// caller as a success, whatever its body is.
 Test(edge, a_success_without_a_signature_is_rejected) {
   standin::StoreService& store = *new standin::StoreService;
   store.Put("keyed.op", "config", ConfigText("00000001"));
@@ -288,8 +288,8 @@
   cr_assert(SendRequest(vm, "GET", "/view/1", NextRequestId()).status == 502);
 }
 
-// An upstream says that it leaves and is told that this is known. From that
-// moment on nothing new may reach it; callers are served by the others.
+// Guards against requests that reach an upstream after its notice to leave was
+// acknowledged. The other upstreams serve the callers.
 Test(edge, nothing_reaches_an_upstream_after_its_leave_was_acknowledged) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -305,7 +305,7 @@
   EdgeVm& leaving = fleet.At(0);
   leaving.upstream.Drain();
   cr_assert(leaving.upstream.Beat(leaving.ports.admin));
-  // What was sent before may still arrive.
+  // Requests that were sent before may still arrive.
   std::this_thread::sleep_for(Ms(50));
   const std::size_t before = leaving.upstream.Runs().size();
   std::this_thread::sleep_for(Ms(500));
@@ -315,8 +315,8 @@
   cr_assert(failed == 0);
 }
 
-// An upstream ends without a word. Its port refuses connections, which proves
-// that nothing ran, so even a filing is placed elsewhere.
+// An upstream ends without a leave call. Its port refuses connections, which
+// proves that nothing ran, so even a non-idempotent request is sent elsewhere.
 Test(edge, requests_to_a_dead_upstream_are_served_elsewhere) {
   standin::StoreService& store = *new standin::StoreService;
   store.Put("keyed.op", "config", ConfigText("00000001"));
@@ -338,9 +338,9 @@
   }
 }
 
-// One request crashes every upstream that begins to run it, and its caller
-// sends it again and again. After three crashes it is refused, and the
-// upstreams that are left go on serving the others.
+// Guards against a request that crashes every upstream that runs it, while its
+// caller keeps retrying. After three crashes it is refused, and the remaining
+// upstreams serve other requests.
 Test(edge, a_request_that_crashes_upstreams_is_stopped) {
   EdgeFleet fleet;
   for (int i = 0; i < 3; ++i) {
@@ -357,7 +357,7 @@
   int alive = 0;
   for (const auto& vm : fleet.vms)
     alive += vm->service == "desk" && !vm->upstream.Crashed() ? 1 : 0;
-  cr_assert(alive >= 2, "%d of 5 are left", alive);
+  cr_assert(alive >= 2, "%d of 5 upstreams are left", alive);
   cr_assert(
       SendRequest(fleet.At(1), "GET", "/view/1", NextRequestId()).status ==
       200);
@@ -366,8 +366,8 @@
   cr_assert(refused.status == 503);
 }
 
-// A node is stopped as planned while callers use it. Each request that it read
-// gets its answer, and the process ends by itself before it would be killed.
+// Guards against a planned stop that loses requests: each one that the node has
+// read gets a response, and the process exits before it would be killed.
 Test(edge, a_planned_stop_completes_requests) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -403,24 +403,25 @@
   stop = true;
   for (std::thread& caller : callers)
     caller.join();
-  // A request on a kept connection may cross its close; it was not read then.
+  // A request may be sent while its kept connection is being closed; the node
+  // has not read it then.
   cr_assert(cut <= 4, "%d requests were cut", cut.load());
 }
 
-// A version is moved in within some seconds, and the operator reads the end of
-// it in the store.
+// A move completes within some seconds, and the operator can read its result in
+// the store.
 Test(edge, a_good_move_is_completed_and_reported) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
   standin::MeshUpstreamOptions new_version{"i-a3", "desk"};
   new_version.version = "v2";
   const EdgeVm& added = fleet.Add("a-3", "a", new_version);
-  // Its version is known from the first heartbeat on.
+  // The first heartbeat reports its version.
   cr_assert(WaitUntil([&] {
     return added.Metrics().find("heartbeats_total") != std::string::npos;
   }));
   cr_assert(fleet.WaitUntilReady());
-  cr_assert(fleet.At(3).upstream.Runs().empty(), "v2 served before its order");
+  cr_assert(fleet.At(3).upstream.Runs().empty(), "v2 served before the move");
   fleet.store.Put("keyed.op", "rollout/desk",
                   R"({"service":"desk","to":"v2","durationS":5})");
   std::atomic<bool> stop{false};
@@ -439,7 +440,7 @@
             "i-a3");
 }
 
-// The new version fails. It is taken back, and from then on gets nothing.
+// The new version fails. It is rolled back and gets no requests after that.
 Test(edge, a_failing_move_is_rolled_back_and_reported) {
   EdgeFleet fleet;
   standin::MeshUpstreamOptions new_version{"i-a3", "desk"};
@@ -467,7 +468,7 @@
   cr_assert(failing.upstream.Runs().size() == before);
 }
 
-// Asks for "desk" at one node until it goes.
+// Sends requests for "desk" to one node until it is destroyed.
 class BackgroundLoad {
  public:
   explicit BackgroundLoad(EdgeVm& vm)
@@ -507,8 +508,8 @@
 constexpr const char* kMoveOrder =
     R"({"service":"desk","to":"v2","durationS":8})";
 
-// The store is away at the moment of the verdict. Nobody may wait for it: the
-// version gets nothing more, and the report follows when the store is back.
+// Guards against a rollback that waits for an unavailable store: the version
+// gets no more requests, and the report follows when the store is back.
 Test(edge, a_verdict_does_not_wait_for_the_store) {
   EdgeFleet fleet;
   EdgeVm& failing = AddFailingVersion(fleet);
@@ -529,8 +530,8 @@
   cr_assert(WaitForReport(fleet, "rolled_back"));
 }
 
-// The store does what it is asked and its answers are lost. What stands there
-// in the end is the verdict, once, whoever wrote it.
+// Guards against a wrong report when the store executes appends but its
+// responses are lost: it holds the verdict in the end, whichever node wrote it.
 Test(edge, a_report_whose_response_is_lost_is_kept) {
   EdgeFleet fleet;
   (void)AddFailingVersion(fleet);
@@ -545,8 +546,8 @@
   cr_assert(StoredReport(fleet).find("rolled_back") != std::string::npos);
 }
 
-// The node that reports a move dies before the verdict. Another takes its
-// place.
+// The node that reports a move dies before the verdict; another node has to
+// report it.
 Test(edge, another_node_reports_when_the_first_is_gone) {
   EdgeFleet fleet;
   (void)AddFailingVersion(fleet);
@@ -558,9 +559,9 @@
   cr_assert(WaitForReport(fleet, "rolled_back"));
 }
 
-// One slot, and four requests for it of 150 ms each. Then a request that runs
-// elsewhere makes a call there. Without the call it loses all its work, so the
-// call goes before those that wait.
+// Four requests of 150 ms each compete for one slot. Then a request that runs
+// elsewhere makes a call there. It would lose all its work without the call, so
+// the call is admitted before the requests that wait.
 Test(edge, calls_of_running_requests_go_first) {
   standin::StoreService& store = *new standin::StoreService;
   store.Put("keyed.op", "config", ConfigText("00000001"));
@@ -599,12 +600,12 @@
     thread.join();
   const std::size_t runs_after =
       called.upstream.Runs().size() - runs_before.size();
-  cr_assert(runs_after >= 2, "%d of the others ran after it",
+  cr_assert(runs_after >= 2, "%d waiting requests ran after it",
             static_cast<int>(runs_after));
 }
 
-// Another process introduces itself with an address that is none. Taken as it
-// is, the first attempt to connect there ended this node and all its requests.
+// Guards against a hello frame with an invalid address: unchecked, the first
+// attempt to connect to it ended the node with all its requests.
 Test(edge, a_peer_with_an_invalid_address_is_harmless) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
@@ -618,8 +619,8 @@
       200);
 }
 
-// On-call have an id and nothing else. One line of the entry's log names the
-// route, the node, the upstream and the outcome; counters stand beside it.
+// Operators on call have only a request id. One line of the entry's log gives
+// the route, the node, the upstream and the outcome; counters give totals.
 Test(edge, a_request_can_be_found_in_the_log_and_in_the_counters) {
   EdgeFleet fleet;
   cr_assert(fleet.WaitUntilReady());
--- a/tests/process/slow_copies_test.cc
+++ b/tests/process/slow_copies_test.cc
@@ -16,11 +16,12 @@
 constexpr Ms kSlicePause{50};
 constexpr int kSlices = 40;
 
-// A node that holds the configuration `version` and sends it over a line so
-// narrow that one copy takes two seconds.
+// A node that holds the configuration `version` and sends it so slowly that one
+// copy takes two seconds.
 class SlowPeer {
  public:
-  // The first `passed_over` questions get no answer, the next one gets one.
+  // Ignores the first `ignored` requests for the configuration and responds to
+  // the next one.
   SlowPeer(std::string name,
            ConfigVersion held_version,
            std::string text,
@@ -108,8 +109,8 @@
          std::string::npos;
 }
 
-// Guards against copies of one configuration that pile up at the node that
-// asks: the next is asked for while the last is on its way over a narrow line.
+// Guards against several copies of one configuration that a node requests while
+// the first one still arrives over a narrow line.
 Test(slow_copies, a_copy_in_flight_is_not_requested_again) {
   SlowPeer peer("a-0", 2, ConfigText("00000002"));
   auto& store = *new standin::StoreService;
@@ -117,16 +118,16 @@
   store.Put("keyed.nodes", "a-0", peer.Record());
   const EdgeVm vm("a-1", "a", {"i-a1", "desk"}, store.Port());
   cr_assert(WaitUntil([&] { return HasVersion(vm, "2"); }));
-  // What was sent before a ping has been read when the ping is answered; some
-  // pings may have waited behind the copy.
+  // When a ping is answered, all frames sent before it have been read; some
+  // pings may have been queued behind the copy.
   constexpr int kExtraPings = 3;
   const int min_pings = peer.Pings() + kExtraPings;
   cr_assert(WaitUntil([&] { return peer.Pings() >= min_pings; }));
   cr_assert(peer.ConfigAsks() == 1, "asked %d times", peer.ConfigAsks());
 }
 
-// Guards against a node that keeps its old configuration because the one that
-// it asked works, answers pings, and never answers the question.
+// Guards against a node that keeps its old configuration because the peer that
+// it asked answers pings but never the request for the configuration.
 Test(slow_copies, an_ignored_request_is_sent_again) {
   SlowPeer peer("a-0", 2, ConfigText("00000002"), 1);
   auto& store = *new standin::StoreService;
@@ -137,8 +138,8 @@
   cr_assert(peer.ConfigAsks() == 2, "asked %d times", peer.ConfigAsks());
 }
 
-// Guards against reads that are given up and sent again while their answer
-// comes over a narrow line: each of them makes the others later.
+// Guards against reads that time out and are retried while their response
+// arrives over a narrow line: each retry delays the other responses.
 Test(slow_copies, a_store_response_in_flight_is_not_requested_again) {
   auto& store = *new standin::StoreService;
   constexpr int kBytesPerSecond = 200'000;
