--- a/tests/process/edge_test.cc
+++ b/tests/process/edge_test.cc
@@ -530,8 +530,8 @@
   cr_assert(WaitForReport(fleet, "rolled_back"));
 }
 
-// Guards against a wrong report when the store executes appends but its
-// responses are lost: it holds the verdict in the end, whichever node wrote it.
+// Guards against a wrong or repeated report when the store executes appends but
+// its responses are lost: it holds the verdict once, whichever node wrote it.
 Test(edge, a_report_whose_response_is_lost_is_kept) {
   EdgeFleet fleet;
   (void)AddFailingVersion(fleet);
