--- a/tests/process/edge_fleet.h
+++ b/tests/process/edge_fleet.h
@@ -1,4 +1,5 @@
-// Some nodes with their upstreams and a store, all on loopback. Tests only.
+// A fixture of several nodes with their upstreams and a store, all on loopback.
+// Tests only.
 #ifndef TEASELSPREAD_TESTS_PROCESS_EDGE_FLEET_H_
 #define TEASELSPREAD_TESTS_PROCESS_EDGE_FLEET_H_
 
@@ -24,7 +25,7 @@
   std::uint16_t link = ClaimPort();
 };
 
-// One VM: an upstream and the node beside it, which can be started again.
+// One VM: an upstream and the node beside it, which can be restarted.
 class EdgeVm {
  public:
   EdgeVm(const std::string& vm_name,
@@ -34,11 +35,12 @@
       : name(vm_name),
         service(options.service),
         upstream(*new standin::MeshUpstream(options)) {
-    this->settings = "/tmp/edge-" + std::to_string(::getpid()) + "-" + name;
+    this->settings_path =
+        "/tmp/edge-" + std::to_string(::getpid()) + "-" + name;
     const auto at = [](std::uint16_t port) {
       return "127.0.0.1:" + std::to_string(port) + "\n";
     };
-    std::ofstream file(this->settings);
+    std::ofstream file(this->settings_path);
     file << "vm: " << name << "\ndata_center: " << data_center
          << "\nservice: " << options.service
          << "\noutbound: " << at(this->ports.outbound)
@@ -55,14 +57,15 @@
   }
 
   void Start() {
-    this->program = std::make_unique<Program>(
-        "teaseledge", std::vector<std::string>{"--settings=" + this->settings});
+    this->node = std::make_unique<Program>(
+        "teaseledge",
+        std::vector<std::string>{"--settings=" + this->settings_path});
   }
 
-  // Kills the node and starts it again.
+  // Kills the node with SIGKILL and starts it again.
   void Restart() {
-    this->program->Signal(SIGKILL);
-    (void)this->program->WaitExit();
+    this->node->Signal(SIGKILL);
+    (void)this->node->WaitExit();
     this->Start();
   }
 
@@ -79,7 +82,8 @@
     return CallOnce({"127.0.0.1", this->ports.metrics}, "GET", "/metrics").body;
   }
 
-  // The value that follows `name` and a blank on the metrics page, 0 for none.
+  // The value of `name`, including any labels, on the metrics page; 0 if
+  // absent.
   [[nodiscard]] std::size_t Metric(const std::string& name) const {
     const std::string page = "\n" + this->Metrics();
     const std::size_t at = page.find("\n" + name + " ");
@@ -93,12 +97,12 @@
   EdgePorts ports;
   // Never freed: the threads of its connections end with the process.
   standin::MeshUpstream& upstream;
-  std::string settings;
-  std::unique_ptr<Program> program;
+  std::string settings_path;
+  std::unique_ptr<Program> node;
 };
 
-// The configuration `version` with a route of each kind. `extra` is one more
-// route's path, or "".
+// The configuration `version` with a route of each type. `extra` is the path
+// prefix of an additional route, or "" for none.
 inline std::string ConfigText(const std::string& version,
                               const std::string& extra = "") {
   const auto route = [](const std::string& name, const std::string& type,
@@ -122,11 +126,11 @@
          R"({"name":"works","healthPath":"/health"}]})";
 }
 
-inline HttpResponse Ask(const EdgeVm& vm,
-                        const std::string& method,
-                        const std::string& path,
-                        const std::string& id,
-                        const std::string& body = "") {
+inline HttpResponse SendRequest(const EdgeVm& vm,
+                                const std::string& method,
+                                const std::string& path,
+                                const std::string& id,
+                                const std::string& body = "") {
   return CallOnce(vm.Outbound(), method, path, body,
                   {{"X-Request-Id", id}, {"X-Deadline-Ms", "2000"}});
 }
@@ -154,23 +158,23 @@
 
   [[nodiscard]] EdgeVm& At(std::size_t index) { return *this->vms.at(index); }
 
-  // True when every node serves both services, knows its own upstream and has
-  // opened its links; otherwise their logs are shown. A node serves before that
-  // through the others.
-  bool Settle() {
-    if (this->WaitServed())
+  // Waits until every node serves both services, knows its own upstream and has
+  // opened its links. On a time-out prints the logs and returns false. Served
+  // requests alone prove too little: a node also serves through the others.
+  bool WaitUntilReady() {
+    if (this->PollUntilReady())
       return true;
     std::fprintf(stderr, "%s\n", this->Logs().c_str());
     return false;
   }
 
-  // What every node has printed. Nodes write their lines some time after what
-  // they tell of, so it waits for those of request `id`.
-  [[nodiscard]] std::string LogsWith(const std::string& id) const {
+  // The output of all nodes. Log lines are written some time after the event,
+  // so it waits for those of request `id`.
+  [[nodiscard]] std::string WaitForLogs(const std::string& id) const {
     WaitUntil(
         [&] { return this->Logs().find("id=" + id) != std::string::npos; },
         std::chrono::seconds(2));
-    // The others write theirs as late.
+    // Lines of the other nodes may be delayed as long.
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     return this->Logs();
   }
@@ -178,19 +182,19 @@
   [[nodiscard]] std::string Logs() const {
     std::string logs;
     for (const auto& vm : this->vms)
-      logs += vm->program->Output();
+      logs += vm->node->Output();
     return logs;
   }
 
  private:
-  bool WaitServed() {
+  bool PollUntilReady() {
     return WaitUntil([this] {
       for (const auto& vm : this->vms) {
         if (!vm->Ready() || vm->Metric("teaselspread_gate_slots") == 0 ||
             vm->Metric(R"(teaselspread_links_total{event="opened"})") + 1 <
                 this->vms.size() ||
-            Ask(*vm, "GET", "/view/x", "settle").status != 200 ||
-            Ask(*vm, "POST", "/load/x", "settle", "body").status != 200)
+            SendRequest(*vm, "GET", "/view/x", "settle").status != 200 ||
+            SendRequest(*vm, "POST", "/load/x", "settle", "body").status != 200)
           return false;
       }
       return true;
