--- a/include/teaselspread/settings.h
+++ b/include/teaselspread/settings.h
@@ -37,7 +37,7 @@
 };
 
 // The platform's log service as far as readers must know it.
-struct LogSettings {
+struct LogServiceSettings {
   Address address;
   // How long it keeps a record.
   Duration retention = std::chrono::hours(24);
@@ -57,7 +57,7 @@
   Address announce;
   // The upstream on this VM.
   Address upstream;
-  LogSettings log;
+  LogServiceSettings log;
   // Control addresses of some nodes of the own data centre.
   std::vector<Address> seeds;
   // The same for each other data centre.
--- a/include/teaselspread/snapshot.h
+++ b/include/teaselspread/snapshot.h
@@ -51,7 +51,7 @@
   // Host that the route belongs to, in lower case; empty fits every host.
   std::string host;
   // Upstreams to which one request may be sent.
-  int most_attempts = 3;
+  int max_attempts = 3;
   std::string method;
   std::string path_prefix;
   Priority priority = Priority::kNormal;
--- a/src/config/address.cc
+++ b/src/config/address.cc
@@ -9,13 +9,13 @@
 namespace teaselspread {
 
 Result<Address> ParseAddress(std::string_view text) {
-  const auto wrong = Fail(
+  const auto invalid = Fail(
       ErrorKind::kSettings,
       Concat("expected an IP number and a port such as 10.0.0.1:8080, got ",
-             Shown(text)));
+             Quoted(text)));
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos)
-    return wrong;
+    return invalid;
   std::string host(text.substr(0, colon));
   const bool bracketed =
       host.size() > 2 && host.front() == '[' && host.back() == ']';
@@ -24,11 +24,11 @@
   std::array<unsigned char, sizeof(in6_addr)> number{};
   if (inet_pton(bracketed ? AF_INET6 : AF_INET, host.c_str(), number.data()) !=
       1) {
-    return wrong;
+    return invalid;
   }
   const auto port = ParseNumberText<std::uint16_t>(text.substr(colon + 1));
   if (!port || *port == 0)
-    return wrong;
+    return invalid;
   return Address{std::move(host), *port};
 }
 
--- a/src/config/archive.cc
+++ b/src/config/archive.cc
@@ -3,7 +3,7 @@
 namespace teaselspread {
 namespace {
 
-std::size_t SharedSize(std::string_view a, std::string_view b) {
+std::size_t CommonPrefixSize(std::string_view a, std::string_view b) {
   const auto [end, other] =
       std::mismatch(a.begin(), a.end(), b.begin(), b.end());
   return static_cast<std::size_t>(end - a.begin());
@@ -14,22 +14,22 @@
 void SavePath(OutputArchive& archive,
               std::string_view path,
               std::string_view previous) {
-  const auto shared = static_cast<std::uint16_t>(
-      std::min<std::size_t>(SharedSize(path, previous), UINT16_MAX));
-  archive(shared);
-  SaveText(archive, path.substr(shared));
+  const auto shared_size = static_cast<std::uint16_t>(
+      std::min<std::size_t>(CommonPrefixSize(path, previous), UINT16_MAX));
+  archive(shared_size);
+  SaveText(archive, path.substr(shared_size));
 }
 
 void LoadPath(InputArchive& archive,
               std::string& path,
               std::string_view previous) {
-  std::uint16_t shared = 0;
-  archive(shared);
-  if (shared > previous.size())
+  std::uint16_t shared_size = 0;
+  archive(shared_size);
+  if (shared_size > previous.size())
     throw cereal::Exception("a path shares more than the one before it has");
   std::string rest;
   LoadText(archive, rest);
-  path.assign(previous.substr(0, shared));
+  path.assign(previous.substr(0, shared_size));
   path += rest;
 }
 
--- a/src/config/archive.h
+++ b/src/config/archive.h
@@ -16,7 +16,7 @@
 using InputArchive = cereal::PortableBinaryInputArchive;
 using OutputArchive = cereal::PortableBinaryOutputArchive;
 
-inline constexpr std::size_t kReadChunk = 65536;
+inline constexpr std::size_t kReadChunkBytes = 65536;
 
 inline void SaveText(OutputArchive& archive, std::string_view text) {
   archive(static_cast<std::uint32_t>(text.size()));
@@ -32,7 +32,7 @@
   text.clear();
   while (text.size() < size) {
     const std::size_t at = text.size();
-    const std::size_t chunk = std::min<std::size_t>(kReadChunk, size - at);
+    const std::size_t chunk = std::min<std::size_t>(kReadChunkBytes, size - at);
     text.resize(at + chunk);
     archive.loadBinary<1>(text.data() + at,
                           static_cast<std::streamsize>(chunk));
--- a/src/config/delta.cc
+++ b/src/config/delta.cc
@@ -11,12 +11,12 @@
 namespace teaselspread {
 namespace {
 
-struct FreeState {
+struct XxhStateDeleter {
   void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
 };
 
 // The size goes first, so that no two lists of leaves give the same bytes.
-void Update(XXH3_state_t* state, std::string_view text) {
+void UpdateHash(XXH3_state_t* state, std::string_view text) {
   std::array<unsigned char, 4> size{};
   for (std::size_t i = 0; i < size.size(); ++i)
     size.at(i) = static_cast<unsigned char>(text.size() >> (8 * i));
@@ -35,11 +35,12 @@
 }  // namespace
 
 Digest DigestOf(const Document& document) {
-  const std::unique_ptr<XXH3_state_t, FreeState> state(XXH3_createState());
+  const std::unique_ptr<XXH3_state_t, XxhStateDeleter> state(
+      XXH3_createState());
   XXH3_128bits_reset(state.get());
   for (const auto& [path, value] : document.leaves) {
-    Update(state.get(), path);
-    Update(state.get(), value);
+    UpdateHash(state.get(), path);
+    UpdateHash(state.get(), value);
   }
   const XXH128_hash_t hash = XXH3_128bits_digest(state.get());
   return {hash.high64, hash.low64};
@@ -55,10 +56,10 @@
   for (const auto& [path, value] : to.leaves) {
     for (; old_leaf != from.leaves.end() && old_leaf->first < path; ++old_leaf)
       delta.removed.push_back(old_leaf->first);
-    const bool held = old_leaf != from.leaves.end() && old_leaf->first == path;
-    if (!held || old_leaf->second != value)
+    const bool found = old_leaf != from.leaves.end() && old_leaf->first == path;
+    if (!found || old_leaf->second != value)
       delta.set.emplace_hint(delta.set.end(), path, value);
-    if (held)
+    if (found)
       ++old_leaf;
   }
   for (; old_leaf != from.leaves.end(); ++old_leaf)
@@ -78,32 +79,32 @@
     document.leaves.insert_or_assign(path, value);
 }
 
-Delta Needed(const Document& document, const Delta& delta) {
-  Delta needed;
+Delta EffectiveDelta(const Document& document, const Delta& delta) {
+  Delta effective;
   for (const auto& [path, value] : delta.set) {
     const auto leaf = document.leaves.find(path);
     if (leaf == document.leaves.end() || leaf->second != value)
-      needed.set.emplace_hint(needed.set.end(), path, value);
+      effective.set.emplace_hint(effective.set.end(), path, value);
   }
   for (const std::string& path : delta.removed) {
     if (document.leaves.contains(path) && !delta.set.contains(path))
-      needed.removed.push_back(path);
+      effective.removed.push_back(path);
   }
-  return needed;
+  return effective;
 }
 
-Delta Undoing(const Document& document, const Delta& delta) {
-  Delta undoing;
+Delta InverseDelta(const Document& document, const Delta& delta) {
+  Delta inverse;
   for (const auto& [path, value] : delta.set) {
     const auto leaf = document.leaves.find(path);
     if (leaf == document.leaves.end())
-      undoing.removed.push_back(path);
+      inverse.removed.push_back(path);
     else
-      undoing.set.emplace_hint(undoing.set.end(), path, leaf->second);
+      inverse.set.emplace_hint(inverse.set.end(), path, leaf->second);
   }
   for (const std::string& path : delta.removed)
-    undoing.set.emplace(path, document.leaves.at(path));
-  return undoing;
+    inverse.set.emplace(path, document.leaves.at(path));
+  return inverse;
 }
 
 void Append(Delta& first, const Delta& second) {
--- a/src/config/delta.h
+++ b/src/config/delta.h
@@ -10,11 +10,12 @@
 void ApplyInPlace(Document& document, const Delta& delta);
 
 // `delta` without the parts that change nothing in `document`. Thread safe.
-[[nodiscard]] Delta Needed(const Document& document, const Delta& delta);
+[[nodiscard]] Delta EffectiveDelta(const Document& document,
+                                   const Delta& delta);
 
 // What takes `delta` back once it is applied to `document`. Precondition: delta
 // is Needed(document, delta). Thread safe.
-[[nodiscard]] Delta Undoing(const Document& document, const Delta& delta);
+[[nodiscard]] Delta InverseDelta(const Document& document, const Delta& delta);
 
 // Makes `first` do what `first` and then `second` would do.
 // Not thread safe for one `first`.
--- a/src/config/entries.cc
+++ b/src/config/entries.cc
@@ -17,7 +17,7 @@
 
 // Leaves of one entry, or of a section without entries: they lie side by side
 // and share this prefix, "services/registry-desk/".
-struct Group {
+struct LeafGroup {
   Section section = Section::kCount;
   std::string_view name;
   std::string_view prefix;
@@ -25,26 +25,27 @@
 };
 
 // The part of `path` up to and with its first slash at or after `from`.
-std::string_view UpToSlash(std::string_view path, std::size_t from) {
+std::string_view PrefixThroughSlash(std::string_view path, std::size_t from) {
   return path.substr(0, path.find('/', from) + 1);
 }
 
-std::string_view WithoutSlash(std::string_view prefix) {
+std::string_view WithoutTrailingSlash(std::string_view prefix) {
   return prefix.substr(0, prefix.size() - (prefix.empty() ? 0 : 1));
 }
 
 // The group that the first leaf begins. Precondition: leaves is not empty.
-Group FirstGroup(Leaves leaves) {
+LeafGroup FirstGroup(Leaves leaves) {
   const std::string_view path = leaves.front().path;
-  Group group;
-  group.prefix = UpToSlash(path, 0);
-  group.section =
-      SectionOf(group.prefix.empty() ? path : WithoutSlash(group.prefix));
+  LeafGroup group;
+  group.prefix = PrefixThroughSlash(path, 0);
+  group.section = SectionOf(
+      group.prefix.empty() ? path : WithoutTrailingSlash(group.prefix));
   if (HasEntries(group.section)) {
-    const std::size_t entry_at = group.prefix.size();
-    const std::string_view whole = UpToSlash(path, entry_at);
-    group.name = WithoutSlash(whole.substr(std::min(entry_at, whole.size())));
-    group.prefix = whole;
+    const std::size_t name_begin = group.prefix.size();
+    const std::string_view entry_prefix = PrefixThroughSlash(path, name_begin);
+    group.name = WithoutTrailingSlash(
+        entry_prefix.substr(std::min(name_begin, entry_prefix.size())));
+    group.prefix = entry_prefix;
   }
   std::size_t size = 1;
   while (!group.prefix.empty() && size < leaves.size() &&
@@ -56,16 +57,16 @@
 }
 
 template <class T>
-Checked<void> CheckComplete(std::span<const Field<T>> fields,
-                            const std::bitset<kMaxFields>& seen,
-                            const Group& group) {
+Checked<void> CheckRequiredFields(std::span<const Field<T>> fields,
+                                  const std::bitset<kMaxFields>& seen,
+                                  const LeafGroup& group) {
   for (std::size_t i = 0; i < fields.size(); ++i) {
     const FieldRule& rule = fields[i].rule;
     if (!rule.required || seen.test(i))
       continue;
     const MergedLeaf& leaf = group.leaves.front();
     const std::size_t field_size = leaf.path.size() - group.prefix.size() + 1;
-    return Wrong(
+    return Invalid(
         std::string(leaf.origin.substr(0, leaf.origin.size() - field_size)),
         Concat("missing field ", rule.name));
   }
@@ -73,7 +74,8 @@
 }
 
 template <class T>
-Checked<T> ReadFields(std::span<const Field<T>> fields, const Group& group) {
+Checked<T> ReadFields(std::span<const Field<T>> fields,
+                      const LeafGroup& group) {
   T entry;
   std::bitset<kMaxFields> seen;
   for (const MergedLeaf& leaf : group.leaves) {
@@ -82,22 +84,22 @@
         fields.begin(), fields.end(),
         [name](const Field<T>& known) { return known.rule.name == name; });
     if (field == fields.end()) {
-      return Wrong(std::string(leaf.origin),
-                   Concat("unknown field, expected one of: ",
-                          FieldNames(group.section)));
+      return Invalid(std::string(leaf.origin),
+                     Concat("unknown field, expected one of: ",
+                            FieldNames(group.section)));
     }
     auto value = ParseScalar(field->rule, leaf.value);
     if (!value)
-      return Wrong(std::string(leaf.origin), std::move(value.error()));
+      return Invalid(std::string(leaf.origin), std::move(value.error()));
     field->assign(entry, *value);
     seen.set(static_cast<std::size_t>(std::distance(fields.begin(), field)));
   }
-  if (auto complete = CheckComplete(fields, seen, group); !complete)
+  if (auto complete = CheckRequiredFields(fields, seen, group); !complete)
     return tl::make_unexpected(std::move(complete.error()));
   return entry;
 }
 
-Checked<void> ReadService(const Group& group, Snapshot& snapshot) {
+Checked<void> ReadService(const LeafGroup& group, Snapshot& snapshot) {
   auto service = ReadFields(ServiceFields(), group);
   if (!service)
     return tl::make_unexpected(std::move(service.error()));
@@ -107,7 +109,7 @@
   return {};
 }
 
-Checked<void> ReadRoute(const Group& group, Snapshot& snapshot) {
+Checked<void> ReadRoute(const LeafGroup& group, Snapshot& snapshot) {
   auto route = ReadFields(RouteFields(), group);
   if (!route)
     return tl::make_unexpected(std::move(route.error()));
@@ -116,7 +118,7 @@
   return {};
 }
 
-Checked<void> ReadMove(const Group& group, Snapshot& snapshot) {
+Checked<void> ReadMove(const LeafGroup& group, Snapshot& snapshot) {
   auto move = ReadFields(MoveFields(), group);
   if (!move)
     return tl::make_unexpected(std::move(move.error()));
@@ -125,7 +127,7 @@
   return {};
 }
 
-Checked<void> ReadLimits(const Group& group, Snapshot& snapshot) {
+Checked<void> ReadLimits(const LeafGroup& group, Snapshot& snapshot) {
   auto limits = ReadFields(LimitsFields(), group);
   if (!limits)
     return tl::make_unexpected(std::move(limits.error()));
@@ -135,21 +137,21 @@
 
 // Deployment and data centres are the same everywhere, so that an overlay
 // cannot give one data centre another idea of which others there are.
-Checked<void> CheckHeader(const Group& group) {
+Checked<void> CheckOnlyInBase(const LeafGroup& group) {
   const std::string_view origin = group.leaves.front().origin;
   if (group.prefix.empty() && origin.starts_with(kBasePrefix))
     return {};
-  return Wrong(std::string(origin), "expected only in the base file");
+  return Invalid(std::string(origin), "expected only in the base file");
 }
 
-Checked<void> ReadGroup(const Group& group, Snapshot& snapshot) {
+Checked<void> ReadGroup(const LeafGroup& group, Snapshot& snapshot) {
   const std::string_view origin = group.leaves.front().origin;
   if (HasEntries(group.section) && !IsName(group.name))
-    return Wrong(std::string(origin), std::string(kNameExpectation));
+    return Invalid(std::string(origin), std::string(kNameExpectation));
   switch (group.section) {
     case Section::kDeployment:
     case Section::kDataCenters:
-      return CheckHeader(group);
+      return CheckOnlyInBase(group);
     case Section::kServices:
       return ReadService(group, snapshot);
     case Section::kRoutes:
@@ -161,7 +163,7 @@
     case Section::kCount:
       break;
   }
-  return Wrong(std::string(origin), std::string(kSectionExpectation));
+  return Invalid(std::string(origin), std::string(kSectionExpectation));
 }
 
 bool IsMatchedFirst(const RouteConfig& a, const RouteConfig& b) {
@@ -176,7 +178,7 @@
 Checked<void> ReadEntries(const std::vector<MergedLeaf>& leaves,
                           Snapshot& snapshot) {
   for (Leaves rest = leaves; !rest.empty();) {
-    const Group group = FirstGroup(rest);
+    const LeafGroup group = FirstGroup(rest);
     if (auto read = ReadGroup(group, snapshot); !read)
       return read;
     rest = rest.subspan(group.leaves.size());
--- a/src/config/judge.cc
+++ b/src/config/judge.cc
@@ -133,7 +133,7 @@
 // What a change does to `document`, without the parts that do nothing.
 Delta DeltaOf(const Document& document, const ChangeRecord& change) {
   if (const auto* delta = std::get_if<Delta>(&change.content))
-    return Needed(document, *delta);
+    return EffectiveDelta(document, *delta);
   return MakeDelta(document, std::get<Document>(change.content));
 }
 
@@ -153,7 +153,7 @@
 
 // Whether the moves are still the same ones as before.
 Finding CheckMoves(const Document& moves_before, const Document& after) {
-  if (const auto kept = CheckMovesKept(moves_before, after); !kept) {
+  if (const auto kept = CheckMovesUnchanged(moves_before, after); !kept) {
     return {FoldReason::kInvalid,
             Concat(kept.error().path, ": ", kept.error().text)};
   }
@@ -177,7 +177,7 @@
   }
   // Applied in place: a copy of the document would cost as much as the checks.
   Delta delta = DeltaOf(state.document, change);
-  const Delta undoing = Undoing(state.document, delta);
+  const Delta undoing = InverseDelta(state.document, delta);
   const Document moves_before = MovesOf(state.document);
   ApplyInPlace(state.document, delta);
   Finding finding = CheckResult(state.document, change.digest);
--- a/src/config/load.cc
+++ b/src/config/load.cc
@@ -12,67 +12,74 @@
 namespace teaselspread {
 namespace {
 
-using Done = Checked<void>;
+using ReadResult = Checked<void>;
 
 // Where each path, and each entry above it, stands in the sources.
-struct Place {
+struct SourceLocation {
   std::string_view file;
   int line = 0;
 };
 
 struct Loader {
   Document document;
-  std::map<std::string, Place> places;
+  std::map<std::string, SourceLocation> locations;
   // The source being read, and its prefix in paths.
   std::string_view file;
   std::string prefix;
   bool is_overlay = false;
 };
 
-void Remember(Loader& loader, const std::string& path, const YAML::Node& node) {
-  loader.places[path] = {loader.file, LineOf(node)};
+void RecordLocation(Loader& loader,
+                    const std::string& path,
+                    const YAML::Node& node) {
+  loader.locations[path] = {loader.file, LineOf(node)};
 }
 
-Done Store(Loader& loader, const std::string& path, std::string value) {
+ReadResult StoreLeaf(Loader& loader,
+                     const std::string& path,
+                     std::string value) {
   loader.document.leaves[path] = std::move(value);
   return {};
 }
 
-Done ReadScalar(Loader& loader,
-                const std::string& path,
-                const FieldRule& rule,
-                const YAML::Node& node) {
+ReadResult ReadScalar(Loader& loader,
+                      const std::string& path,
+                      const FieldRule& rule,
+                      const YAML::Node& node) {
   if (!node.IsScalar())
-    return Wrong(path, Concat("expected one value, got ", KindOf(node)));
+    return Invalid(path,
+                   Concat("expected one value, got ", DescribeKind(node)));
   auto value = ParseScalar(rule, node.Scalar());
   if (!value)
-    return Wrong(path, Concat(value.error(), ", got ", Shown(node.Scalar())));
-  return Store(loader, path, CanonicalText(*value));
+    return Invalid(path,
+                   Concat(value.error(), ", got ", Quoted(node.Scalar())));
+  return StoreLeaf(loader, path, CanonicalText(*value));
 }
 
 // Calls `visit(key, path, value)` for each pair of a map. YAML lets a key stand
 // twice and yaml-cpp takes one of the two, so that an operator's second entry
 // would vanish without a word; it is refused here.
 template <class Visitor>
-Done ForEachKey(Loader& loader,
-                const std::string& parent,
-                const YAML::Node& node,
-                Visitor visit) {
+ReadResult ForEachKey(Loader& loader,
+                      const std::string& parent,
+                      const YAML::Node& node,
+                      Visitor visit) {
   if (!node.IsMap())
-    return Wrong(parent, Concat("expected a map, got ", KindOf(node)));
+    return Invalid(parent, Concat("expected a map, got ", DescribeKind(node)));
   std::set<std::string> seen;
   for (const auto& pair : node) {
     if (!pair.first.IsScalar())
-      return Wrong(parent, "expected a name as key");
+      return Invalid(parent, "expected a name as key");
     const std::string key = pair.first.Scalar();
     if (!IsName(key))
-      return Wrong(parent, Concat("key ", Shown(key), ": ", kNameExpectation));
+      return Invalid(parent,
+                     Concat("key ", Quoted(key), ": ", kNameExpectation));
     const std::string path = Concat(parent, "/", key);
-    Remember(loader, path, pair.first);
+    RecordLocation(loader, path, pair.first);
     if (!seen.insert(key).second)
-      return Wrong(path, "stands twice");
-    if (auto done = visit(key, path, pair.second); !done)
-      return done;
+      return Invalid(path, "stands twice");
+    if (auto result = visit(key, path, pair.second); !result)
+      return result;
   }
   return {};
 }
@@ -82,72 +89,74 @@
   return loader.is_overlay && node.IsNull();
 }
 
-Done ReadFields(Loader& loader,
-                const std::string& path,
-                Section section,
-                std::string_view name_prefix,
-                const YAML::Node& node) {
+ReadResult ReadFields(Loader& loader,
+                      const std::string& path,
+                      Section section,
+                      std::string_view name_prefix,
+                      const YAML::Node& node) {
   return ForEachKey(
       loader, path, node,
-      [&](const std::string& key, const std::string& at,
-          const YAML::Node& value) -> Done {
+      [&](const std::string& key, const std::string& field_path,
+          const YAML::Node& value) -> ReadResult {
         const std::string name = Concat(name_prefix, key);
         if (value.IsMap())
-          return ReadFields(loader, at, section, name + "/", value);
+          return ReadFields(loader, field_path, section, name + "/", value);
         const FieldRule* rule = FindRule(section, name);
         if (rule == nullptr) {
-          return Wrong(at, Concat("unknown field, expected one of: ",
-                                  FieldNames(section)));
+          return Invalid(field_path, Concat("unknown field, expected one of: ",
+                                            FieldNames(section)));
         }
         if (IsDeletion(loader, value))
-          return Store(loader, at, std::string(kDeletedLeaf));
-        return ReadScalar(loader, at, *rule, value);
+          return StoreLeaf(loader, field_path, std::string(kDeletedLeaf));
+        return ReadScalar(loader, field_path, *rule, value);
       });
 }
 
-Done ReadEntries(Loader& loader,
-                 const std::string& path,
-                 Section section,
-                 const YAML::Node& node) {
-  return ForEachKey(loader, path, node,
-                    [&](const std::string&, const std::string& at,
-                        const YAML::Node& value) -> Done {
-                      if (IsDeletion(loader, value))
-                        return Store(loader, at, std::string(kDeletedLeaf));
-                      // An entry without fields would leave no leaf and vanish.
-                      if (value.IsMap() && value.size() == 0)
-                        return Wrong(at, "expected at least one field");
-                      return ReadFields(loader, at, section, "", value);
-                    });
+ReadResult ReadEntries(Loader& loader,
+                       const std::string& path,
+                       Section section,
+                       const YAML::Node& node) {
+  return ForEachKey(
+      loader, path, node,
+      [&](const std::string&, const std::string& entry_path,
+          const YAML::Node& value) -> ReadResult {
+        if (IsDeletion(loader, value))
+          return StoreLeaf(loader, entry_path, std::string(kDeletedLeaf));
+        // An entry without fields would leave no leaf and vanish.
+        if (value.IsMap() && value.size() == 0)
+          return Invalid(entry_path, "expected at least one field");
+        return ReadFields(loader, entry_path, section, "", value);
+      });
 }
 
-Done ReadDataCenters(Loader& loader,
-                     const std::string& path,
-                     const YAML::Node& node) {
+ReadResult ReadDataCenters(Loader& loader,
+                           const std::string& path,
+                           const YAML::Node& node) {
   if (!node.IsSequence() || node.size() == 0) {
-    return Wrong(path, Concat("expected a list of names, got ", KindOf(node)));
+    return Invalid(
+        path, Concat("expected a list of names, got ", DescribeKind(node)));
   }
   std::set<std::string> names;
   for (const YAML::Node& item : node) {
     if (!item.IsScalar() || !IsName(item.Scalar()))
-      return Wrong(path, std::string(kNameExpectation));
+      return Invalid(path, std::string(kNameExpectation));
     if (!names.insert(item.Scalar()).second)
-      return Wrong(path, Concat("names ", item.Scalar(), " twice"));
+      return Invalid(path, Concat("names ", item.Scalar(), " twice"));
   }
-  return Store(loader, path, absl::StrJoin(names, ","));
+  return StoreLeaf(loader, path, absl::StrJoin(names, ","));
 }
 
-Done ReadSection(Loader& loader,
-                 const std::string& key,
-                 const std::string& path,
-                 const YAML::Node& node) {
+ReadResult ReadSection(Loader& loader,
+                       const std::string& key,
+                       const std::string& path,
+                       const YAML::Node& node) {
   const Section section = SectionOf(key);
   const bool only_in_base =
       section == Section::kDeployment || section == Section::kDataCenters;
   if (loader.is_overlay && only_in_base)
-    return Wrong(path, "expected only in the base file");
+    return Invalid(path, "expected only in the base file");
   if (section == Section::kCount) {
-    return Wrong(path, std::string(kSectionExpectation));
+    return Invalid(path, std::string(kSectionExpectation));
   }
   if (section == Section::kDeployment)
     return ReadScalar(loader, path, {"deployment", ScalarType::kName}, node);
@@ -158,8 +167,10 @@
   return ReadFields(loader, path, section, "", node);
 }
 
-Done ReadRoot(Loader& loader, const std::string& root, const YAML::Node& node) {
-  Remember(loader, root, node);
+ReadResult ReadRoot(Loader& loader,
+                    const std::string& root,
+                    const YAML::Node& node) {
+  RecordLocation(loader, root, node);
   // A file of comments only is an overlay that changes nothing.
   if (loader.is_overlay && node.IsNull())
     return {};
@@ -171,10 +182,10 @@
 }
 
 // The line of the nearest path at or above `path` that the sources contain.
-Place PlaceOf(const Loader& loader, std::string path) {
+SourceLocation LocationOf(const Loader& loader, std::string path) {
   while (true) {
-    if (const auto place = loader.places.find(path);
-        place != loader.places.end()) {
+    if (const auto place = loader.locations.find(path);
+        place != loader.locations.end()) {
       return place->second;
     }
     const std::size_t slash = path.rfind('/');
@@ -184,8 +195,8 @@
   }
 }
 
-tl::unexpected<Error> AsError(const Loader& loader, const Problem& problem) {
-  const auto [file, line] = PlaceOf(loader, problem.path);
+tl::unexpected<Error> ToError(const Loader& loader, const Problem& problem) {
+  const auto [file, line] = LocationOf(loader, problem.path);
   return Fail(ErrorKind::kConfigInvalid,
               Concat(file, ":", line, ": ", problem.path, ": ", problem.text));
 }
@@ -198,8 +209,8 @@
       ParseYaml(source.file, source.text, ErrorKind::kConfigSyntax);
   if (!node)
     return tl::make_unexpected(node.error());
-  if (const auto done = ReadRoot(loader, root, *node); !done)
-    return AsError(loader, done.error());
+  if (const auto result = ReadRoot(loader, root, *node); !result)
+    return ToError(loader, result.error());
   return {};
 }
 
@@ -217,7 +228,7 @@
   }
   loader.file = sources.base.file;
   if (const auto valid = ValidateChecked(loader.document); !valid)
-    return AsError(loader, valid.error());
+    return ToError(loader, valid.error());
   return std::move(loader.document);
 }
 
--- a/src/config/merge.cc
+++ b/src/config/merge.cc
@@ -11,8 +11,8 @@
 using Leaf = std::map<std::string, std::string>::const_iterator;
 
 // Leaves whose path starts with `prefix`, the prefix taken off.
-std::vector<MergedLeaf> Under(const Document& document,
-                              std::string_view prefix) {
+std::vector<MergedLeaf> LeavesUnder(const Document& document,
+                                    std::string_view prefix) {
   std::vector<MergedLeaf> found;
   const auto end = document.leaves.end();
   for (auto leaf = document.leaves.lower_bound(std::string(prefix));
@@ -37,11 +37,11 @@
 }
 
 // Whether the base has the leaf or an entry of this path.
-bool BaseHas(const Document& document, std::string_view path) {
-  const std::string whole = Concat(kBasePrefix, path);
-  if (document.leaves.contains(whole))
+bool BaseContains(const Document& document, std::string_view path) {
+  const std::string base_path = Concat(kBasePrefix, path);
+  if (document.leaves.contains(base_path))
     return true;
-  const std::string entry = whole + "/";
+  const std::string entry = base_path + "/";
   const auto leaf = document.leaves.lower_bound(entry);
   return leaf != document.leaves.end() && leaf->first.starts_with(entry);
 }
@@ -77,20 +77,20 @@
 }
 
 std::vector<MergedLeaf> BaseLeaves(const Document& document) {
-  return Under(document, kBasePrefix);
+  return LeavesUnder(document, kBasePrefix);
 }
 
 Checked<std::vector<MergedLeaf>> Merge(const Document& document,
                                        const std::vector<MergedLeaf>& base,
                                        std::string_view data_center) {
   const std::vector<MergedLeaf> overlay =
-      Under(document, OverlayPrefixOf(data_center));
+      LeavesUnder(document, OverlayPrefixOf(data_center));
   std::set<std::string_view> deleted;
   for (const MergedLeaf& leaf : overlay) {
     if (leaf.value != kDeletedLeaf)
       continue;
-    if (!BaseHas(document, leaf.path))
-      return Wrong(std::string(leaf.origin), "deletes what the base lacks");
+    if (!BaseContains(document, leaf.path))
+      return Invalid(std::string(leaf.origin), "deletes what the base lacks");
     deleted.insert(leaf.path);
   }
   return MergeSorted(base, overlay, deleted);
--- a/src/config/merge.h
+++ b/src/config/merge.h
@@ -22,7 +22,7 @@
 template <class T>
 using Checked = tl::expected<T, Problem>;
 
-inline tl::unexpected<Problem> Wrong(std::string path, std::string text) {
+inline tl::unexpected<Problem> Invalid(std::string path, std::string text) {
   return tl::make_unexpected(Problem{std::move(path), std::move(text)});
 }
 
--- a/src/config/move_identity.cc
+++ b/src/config/move_identity.cc
@@ -23,14 +23,14 @@
 using Key = std::pair<std::string_view, std::string_view>;
 using Identities = std::map<Key, MoveLeaf>;
 
-bool IsIdentity(std::string_view field) {
+bool IsIdentityField(std::string_view field) {
   return field == "service" || field == "from" || field == "to";
 }
 
 // The leaf's parts if it is "<scope>moves/<id>/<field>".
-std::optional<MoveLeaf> MoveLeafOf(std::string_view scope,
-                                   const std::string& path,
-                                   std::string_view value) {
+std::optional<MoveLeaf> ParseMoveLeaf(std::string_view scope,
+                                      const std::string& path,
+                                      std::string_view value) {
   std::string_view rest = std::string_view(path).substr(scope.size());
   const std::string_view section = NameOf(Section::kMoves);
   if (!rest.starts_with(section) || rest.size() <= section.size())
@@ -53,7 +53,7 @@
     auto leaf = document.leaves.lower_bound(prefix);
     for (; leaf != document.leaves.end() && leaf->first.starts_with(prefix);
          ++leaf) {
-      if (const auto found = MoveLeafOf(scope, leaf->first, leaf->second))
+      if (const auto found = ParseMoveLeaf(scope, leaf->first, leaf->second))
         visit(*found);
     }
   }
@@ -62,7 +62,7 @@
 Identities IdentitiesOf(const Document& document) {
   Identities identities;
   ForEachMoveLeaf(document, [&identities](const MoveLeaf& leaf) {
-    if (IsIdentity(leaf.field))
+    if (IsIdentityField(leaf.field))
       identities.try_emplace({leaf.id, leaf.field}, leaf);
   });
   return identities;
@@ -72,14 +72,14 @@
 bool StaysWithdrawn(const Identities& identities,
                     const Document& after,
                     const MoveLeaf& leaf) {
-  const auto now = after.leaves.find(*leaf.path);
-  return (now != after.leaves.end() && now->second == kTrue) ||
+  const auto updated = after.leaves.find(*leaf.path);
+  return (updated != after.leaves.end() && updated->second == kTrue) ||
          !identities.contains({leaf.id, "to"});
 }
 
 }  // namespace
 
-Checked<void> CheckMovesAgree(const Document& document) {
+Checked<void> CheckMovesConsistent(const Document& document) {
   const Identities identities = IdentitiesOf(document);
   std::optional<Problem> problem;
   ForEachMoveLeaf(document, [&](const MoveLeaf& leaf) {
@@ -98,14 +98,15 @@
   return {};
 }
 
-Checked<void> CheckMovesKept(const Document& before, const Document& after) {
+Checked<void> CheckMovesUnchanged(const Document& before,
+                                  const Document& after) {
   const Identities identities = IdentitiesOf(after);
   std::optional<Problem> problem;
   ForEachMoveLeaf(before, [&](const MoveLeaf& leaf) {
-    const auto now = identities.find({leaf.id, leaf.field});
-    if (now != identities.end() && now->second.value != leaf.value) {
+    const auto updated = identities.find({leaf.id, leaf.field});
+    if (updated != identities.end() && updated->second.value != leaf.value) {
       problem =
-          Problem{*now->second.path,
+          Problem{*updated->second.path,
                   Concat("move ", leaf.id, " has ", leaf.field, " ", leaf.value,
                          "; give the changed move another id")};
     }
--- a/src/config/references.cc
+++ b/src/config/references.cc
@@ -14,13 +14,13 @@
 
 Checked<void> CheckRoute(const Snapshot& snapshot, const RouteConfig& route) {
   if (!snapshot.services.contains(route.service)) {
-    return Wrong(Concat("routes/", route.name, "/service"),
-                 Concat("no service is called ", route.service));
+    return Invalid(Concat("routes/", route.name, "/service"),
+                   Concat("no service is called ", route.service));
   }
   if (route.max_body_bytes > snapshot.limits.max_body_bytes) {
-    return Wrong(Concat("routes/", route.name, "/max_body_bytes"),
-                 Concat("expected at most limits/max_body_bytes, ",
-                        snapshot.limits.max_body_bytes));
+    return Invalid(Concat("routes/", route.name, "/max_body_bytes"),
+                   Concat("expected at most limits/max_body_bytes, ",
+                          snapshot.limits.max_body_bytes));
   }
   return {};
 }
@@ -35,9 +35,9 @@
       return checked;
     if (previous != nullptr && previous->method == route.method &&
         previous->path_prefix == route.path_prefix) {
-      return Wrong(Concat("routes/", route.name, "/path_prefix"),
-                   Concat("route ", previous->name, " already takes ",
-                          route.method, " ", route.path_prefix));
+      return Invalid(Concat("routes/", route.name, "/path_prefix"),
+                     Concat("route ", previous->name, " already takes ",
+                            route.method, " ", route.path_prefix));
     }
     previous = &route;
   }
@@ -47,17 +47,17 @@
 Checked<void> CheckMove(const Snapshot& snapshot, const MoveConfig& move) {
   const std::string path = Concat("moves/", move.id);
   if (!snapshot.services.contains(move.service)) {
-    return Wrong(path + "/service",
-                 Concat("no service is called ", move.service));
+    return Invalid(path + "/service",
+                   Concat("no service is called ", move.service));
   }
   if (move.from == move.to)
-    return Wrong(path + "/to", "expected another version than from");
+    return Invalid(path + "/to", "expected another version than from");
   if (move.by <= move.start)
-    return Wrong(path + "/by", "expected a time after start");
+    return Invalid(path + "/by", "expected a time after start");
   // The move is done once its watch has passed at full share: with less time
   // than that it could only be late, or rush to full share unproved.
   if (move.by - move.start <= move.watch)
-    return Wrong(path + "/by", "expected more time after start than watch");
+    return Invalid(path + "/by", "expected more time after start than watch");
   return {};
 }
 
@@ -71,7 +71,7 @@
     if (move->to == service.version)
       known.insert(move->from);
     if (!known.contains(move->from)) {
-      return Wrong(
+      return Invalid(
           Concat("moves/", move->id, "/from"),
           Concat("expected the version of ", service.name, ", ",
                  service.version, ", or one that an earlier move leads to"));
@@ -87,10 +87,10 @@
     const MoveConfig& earlier = *moves[i - 1];
     const MoveConfig& later = *moves[i];
     if (later.start < earlier.by + earlier.watch) {
-      return Wrong(Concat("moves/", later.id, "/start"),
-                   Concat("overlaps move ", earlier.id,
-                          " of the same service, which ends with its "
-                          "watch after by"));
+      return Invalid(Concat("moves/", later.id, "/start"),
+                     Concat("overlaps move ", earlier.id,
+                            " of the same service, which ends with its "
+                            "watch after by"));
     }
   }
   return {};
@@ -120,9 +120,9 @@
 
 Checked<void> CheckLimits(const LimitsConfig& limits) {
   if (limits.max_body_bytes > limits.body_memory_bytes) {
-    return Wrong("limits/max_body_bytes",
-                 Concat("expected at most limits/body_memory_bytes, ",
-                        limits.body_memory_bytes));
+    return Invalid("limits/max_body_bytes",
+                   Concat("expected at most limits/body_memory_bytes, ",
+                          limits.body_memory_bytes));
   }
   return {};
 }
--- a/src/config/render.cc
+++ b/src/config/render.cc
@@ -23,18 +23,18 @@
 // whether there is anything beside them.
 Checked<void> CheckRoots(const Document& document) {
   const auto& leaves = document.leaves;
-  const auto wrong = [](const std::string& path) {
-    return Wrong(path, "expected a path under base/ or overlay/");
+  const auto invalid = [](const std::string& path) {
+    return Invalid(path, "expected a path under base/ or overlay/");
   };
   if (!leaves.empty() && !leaves.begin()->first.starts_with(kBasePrefix))
-    return wrong(leaves.begin()->first);
+    return invalid(leaves.begin()->first);
   if (const auto next = leaves.lower_bound(std::string(kAfterBase));
       next != leaves.end() && !next->first.starts_with(kOverlayPrefix)) {
-    return wrong(next->first);
+    return invalid(next->first);
   }
   if (const auto next = leaves.lower_bound(std::string(kAfterOverlays));
       next != leaves.end()) {
-    return wrong(next->first);
+    return invalid(next->first);
   }
   return {};
 }
@@ -46,8 +46,8 @@
     const std::string rest = leaf->first.substr(kOverlayPrefix.size());
     const std::string name = rest.substr(0, rest.find('/'));
     if (!std::binary_search(data_centers.begin(), data_centers.end(), name)) {
-      return Wrong(leaf->first, Concat("no data centre is called ", name,
-                                       " in data_centers of the base file"));
+      return Invalid(leaf->first, Concat("no data centre is called ", name,
+                                         " in data_centers of the base file"));
     }
     // The first leaf after this overlay.
     leaf = document.leaves.lower_bound(Concat(kOverlayPrefix, name, "0"));
@@ -56,15 +56,15 @@
 }
 
 Checked<void> CheckDataCenters(const std::vector<std::string>& names) {
-  const auto wrong = [](std::string_view text) {
-    return Wrong(std::string(kDataCentersLeaf), std::string(text));
+  const auto invalid = [](std::string_view text) {
+    return Invalid(std::string(kDataCentersLeaf), std::string(text));
   };
   if (names.empty())
-    return Wrong("base", "missing field data_centers");
+    return Invalid("base", "missing field data_centers");
   if (std::adjacent_find(names.begin(), names.end()) != names.end())
-    return wrong("names a data centre twice");
+    return invalid("names a data centre twice");
   if (!std::all_of(names.begin(), names.end(), IsName))
-    return wrong(kNameExpectation);
+    return invalid(kNameExpectation);
   return {};
 }
 
@@ -74,9 +74,9 @@
     return tl::make_unexpected(roots.error());
   const auto deployment = document.leaves.find(std::string(kDeploymentLeaf));
   if (deployment == document.leaves.end())
-    return Wrong("base", "missing field deployment");
+    return Invalid("base", "missing field deployment");
   if (!IsName(deployment->second))
-    return Wrong(deployment->first, std::string(kNameExpectation));
+    return Invalid(deployment->first, std::string(kNameExpectation));
   std::vector<std::string> names = DataCentersOf(document);
   if (auto checked = CheckDataCenters(names); !checked)
     return tl::make_unexpected(checked.error());
@@ -87,9 +87,9 @@
 
 // References are checked on the merged view; the leaf at fault may come from
 // either file.
-Problem Locate(const Document& document,
-               std::string_view data_center,
-               Problem problem) {
+Problem ResolvePath(const Document& document,
+                    std::string_view data_center,
+                    Problem problem) {
   std::string in_overlay = Concat(OverlayPrefixOf(data_center), problem.path);
   problem.path = document.leaves.contains(in_overlay)
                      ? std::move(in_overlay)
@@ -98,22 +98,22 @@
 }
 
 // A document that is checked as a whole, and what its data centres share.
-struct Source {
+struct CheckedDocument {
   const Document& document;
   std::vector<std::string> data_centers;
   std::vector<MergedLeaf> base;
 };
 
-Checked<Source> SourceOf(const Document& document) {
+Checked<CheckedDocument> PrepareDocument(const Document& document) {
   auto names = CheckDocument(document);
   if (!names)
     return tl::make_unexpected(std::move(names.error()));
-  return Source{document, std::move(*names), BaseLeaves(document)};
+  return CheckedDocument{document, std::move(*names), BaseLeaves(document)};
 }
 
-Checked<SnapshotPtr> RenderOne(const Source& source,
-                               std::string_view data_center,
-                               ConfigVersion version) {
+Checked<SnapshotPtr> RenderDataCenter(const CheckedDocument& source,
+                                      std::string_view data_center,
+                                      ConfigVersion version) {
   const auto leaves = Merge(source.document, source.base, data_center);
   if (!leaves)
     return tl::make_unexpected(leaves.error());
@@ -127,12 +127,12 @@
     return tl::make_unexpected(std::move(read.error()));
   if (auto checked = CheckReferences(*snapshot); !checked) {
     return tl::make_unexpected(
-        Locate(source.document, data_center, std::move(checked.error())));
+        ResolvePath(source.document, data_center, std::move(checked.error())));
   }
   return SnapshotPtr(std::move(snapshot));
 }
 
-tl::unexpected<Error> AsError(const Problem& problem) {
+tl::unexpected<Error> ToError(const Problem& problem) {
   return Fail(ErrorKind::kConfigInvalid,
               Concat(problem.path, ": ", problem.text));
 }
@@ -142,25 +142,25 @@
 Checked<SnapshotPtr> RenderChecked(const Document& document,
                                    std::string_view data_center,
                                    ConfigVersion version) {
-  const auto source = SourceOf(document);
+  const auto source = PrepareDocument(document);
   if (!source)
     return tl::make_unexpected(source.error());
   if (!std::binary_search(source->data_centers.begin(),
                           source->data_centers.end(), data_center)) {
-    return Wrong(std::string(kDataCentersLeaf),
-                 Concat("no data centre is called ", data_center));
+    return Invalid(std::string(kDataCentersLeaf),
+                   Concat("no data centre is called ", data_center));
   }
-  return RenderOne(*source, data_center, version);
+  return RenderDataCenter(*source, data_center, version);
 }
 
 Checked<void> ValidateChecked(const Document& document) {
-  const auto source = SourceOf(document);
+  const auto source = PrepareDocument(document);
   if (!source)
     return tl::make_unexpected(source.error());
-  if (auto agree = CheckMovesAgree(document); !agree)
+  if (auto agree = CheckMovesConsistent(document); !agree)
     return agree;
   for (const std::string& name : source->data_centers) {
-    if (auto snapshot = RenderOne(*source, name, 0); !snapshot)
+    if (auto snapshot = RenderDataCenter(*source, name, 0); !snapshot)
       return tl::make_unexpected(std::move(snapshot.error()));
   }
   return {};
@@ -180,21 +180,21 @@
                            ConfigVersion version) {
   auto snapshot = RenderChecked(document, data_center, version);
   if (!snapshot)
-    return AsError(snapshot.error());
+    return ToError(snapshot.error());
   return std::move(*snapshot);
 }
 
 Result<void> ValidateChange(const Document& before, const Document& after) {
   if (auto valid = ValidateAll(after); !valid)
     return valid;
-  if (const auto kept = CheckMovesKept(before, after); !kept)
-    return AsError(kept.error());
+  if (const auto kept = CheckMovesUnchanged(before, after); !kept)
+    return ToError(kept.error());
   return {};
 }
 
 Result<void> ValidateAll(const Document& document) {
   if (const auto checked = ValidateChecked(document); !checked)
-    return AsError(checked.error());
+    return ToError(checked.error());
   return {};
 }
 
--- a/src/config/scalar.cc
+++ b/src/config/scalar.cc
@@ -72,7 +72,7 @@
   return std::nullopt;
 }
 
-std::int64_t WholeNumber(double value) {
+std::int64_t ToInteger(double value) {
   return static_cast<std::int64_t>(value);
 }
 
@@ -85,8 +85,8 @@
       value && InRange(rule, static_cast<double>(*value))) {
     return *value;
   }
-  return Expected(Concat("an integer from ", WholeNumber(rule.low), " to ",
-                         WholeNumber(rule.high)));
+  return Expected(Concat("an integer from ", ToInteger(rule.low), " to ",
+                         ToInteger(rule.high)));
 }
 
 Parsed ParseBytes(const FieldRule& rule, std::string_view text) {
@@ -95,7 +95,7 @@
     return *value;
   }
   return Expected(Concat("a size such as 4096, 64KiB or 8MiB, from ",
-                         WholeNumber(rule.low), " to ", WholeNumber(rule.high),
+                         ToInteger(rule.low), " to ", ToInteger(rule.high),
                          " bytes"));
 }
 
@@ -119,12 +119,12 @@
 
 // "2026-12-03T06:00:00Z", with every character but the digits in its place.
 std::optional<TimePoint> ParseTimeText(std::string_view text) {
-  constexpr std::string_view kForm = "0000-00-00T00:00:00Z";
-  if (text.size() != kForm.size())
+  constexpr std::string_view kFormat = "0000-00-00T00:00:00Z";
+  if (text.size() != kFormat.size())
     return std::nullopt;
-  for (std::size_t i = 0; i < kForm.size(); ++i) {
+  for (std::size_t i = 0; i < kFormat.size(); ++i) {
     const bool digit = absl::ascii_isdigit(static_cast<unsigned char>(text[i]));
-    if (kForm[i] == '0' ? !digit : text[i] != kForm[i])
+    if (kFormat[i] == '0' ? !digit : text[i] != kFormat[i])
       return std::nullopt;
   }
   const auto number = [text](std::size_t at, std::size_t size) {
@@ -205,7 +205,7 @@
       Padded(time.seconds().count(), 2), "Z");
 }
 
-struct TextOf {
+struct ToCanonicalText {
   std::string operator()(const std::string& value) const { return value; }
   std::string operator()(bool value) const { return value ? "true" : "false"; }
   std::string operator()(std::int64_t value) const {
@@ -257,7 +257,7 @@
 }
 
 std::string CanonicalText(const Scalar& value) {
-  return std::visit(TextOf(), value);
+  return std::visit(ToCanonicalText(), value);
 }
 
 }  // namespace teaselspread
--- a/src/config/schema.cc
+++ b/src/config/schema.cc
@@ -23,7 +23,7 @@
 
 // The Scalar alternative that carries a member of type T.
 template <class T>
-constexpr auto CarrierOf() {
+constexpr auto ScalarAlternativeOf() {
   if constexpr (std::is_same_v<T, bool> || !std::is_integral_v<T>) {
     return std::type_identity<T>();
   } else {
@@ -31,23 +31,24 @@
   }
 }
 template <class T>
-using Carrier = typename decltype(CarrierOf<T>())::type;
+using ScalarAlternative = typename decltype(ScalarAlternativeOf<T>())::type;
 
 template <auto kMember, class Owner>
-constexpr Field<Owner> Direct(FieldRule rule) {
+constexpr Field<Owner> MemberField(FieldRule rule) {
   return {rule,
           [](Owner& target, const Scalar& value) {
             using T = std::remove_reference_t<decltype(target.*kMember)>;
-            target.*kMember = static_cast<T>(std::get<Carrier<T>>(value));
+            target.*kMember =
+                static_cast<T>(std::get<ScalarAlternative<T>>(value));
           },
           [](const Owner& source) -> Scalar {
             using T = std::remove_cvref_t<decltype(source.*kMember)>;
-            return static_cast<Carrier<T>>(source.*kMember);
+            return static_cast<ScalarAlternative<T>>(source.*kMember);
           }};
 }
 
 template <double MoveBounds::*kMember>
-constexpr Field<MoveConfig> Bound(FieldRule rule) {
+constexpr Field<MoveConfig> BoundsField(FieldRule rule) {
   return {rule,
           [](MoveConfig& target, const Scalar& value) {
             target.bounds.*kMember = std::get<double>(value);
@@ -58,20 +59,20 @@
 }
 
 template <auto kMember>
-constexpr Field<ServiceConfig> OfService(FieldRule rule) {
-  return Direct<kMember, ServiceConfig>(rule);
+constexpr Field<ServiceConfig> ServiceField(FieldRule rule) {
+  return MemberField<kMember, ServiceConfig>(rule);
 }
 template <auto kMember>
-constexpr Field<RouteConfig> OfRoute(FieldRule rule) {
-  return Direct<kMember, RouteConfig>(rule);
+constexpr Field<RouteConfig> RouteField(FieldRule rule) {
+  return MemberField<kMember, RouteConfig>(rule);
 }
 template <auto kMember>
-constexpr Field<MoveConfig> OfMove(FieldRule rule) {
-  return Direct<kMember, MoveConfig>(rule);
+constexpr Field<MoveConfig> MoveField(FieldRule rule) {
+  return MemberField<kMember, MoveConfig>(rule);
 }
 template <auto kMember>
-constexpr Field<LimitsConfig> OfLimits(FieldRule rule) {
-  return Direct<kMember, LimitsConfig>(rule);
+constexpr Field<LimitsConfig> LimitsField(FieldRule rule) {
+  return MemberField<kMember, LimitsConfig>(rule);
 }
 
 using S = ServiceConfig;
@@ -80,68 +81,69 @@
 using L = LimitsConfig;
 
 constexpr std::array kServiceFields = {
-    OfService<&S::version>({"version", Type::kName, kRequired}),
-    OfService<&S::queue_limit>(
+    ServiceField<&S::version>({"version", Type::kName, kRequired}),
+    ServiceField<&S::queue_limit>(
         {"queue_limit", Type::kInteger, kOptional, 0, 100000}),
-    OfService<&S::connections>(
+    ServiceField<&S::connections>(
         {"connections", Type::kInteger, kOptional, 1, 100000}),
-    OfService<&S::warm_up>({"warm_up", Type::kDuration, kOptional, 0, kHour}),
+    ServiceField<&S::warm_up>(
+        {"warm_up", Type::kDuration, kOptional, 0, kHour}),
 };
 
 constexpr std::array kRouteFields = {
-    OfRoute<&R::service>({"service", Type::kName, kRequired}),
-    OfRoute<&R::method>({"method", Type::kMethod, kRequired}),
-    OfRoute<&R::path_prefix>({"path_prefix", Type::kPathPrefix, kRequired}),
-    OfRoute<&R::priority>({"priority", Type::kPriority, kOptional}),
-    OfRoute<&R::idempotent>({"idempotent", Type::kBool, kOptional}),
-    OfRoute<&R::deadline>(
+    RouteField<&R::service>({"service", Type::kName, kRequired}),
+    RouteField<&R::method>({"method", Type::kMethod, kRequired}),
+    RouteField<&R::path_prefix>({"path_prefix", Type::kPathPrefix, kRequired}),
+    RouteField<&R::priority>({"priority", Type::kPriority, kOptional}),
+    RouteField<&R::idempotent>({"idempotent", Type::kBool, kOptional}),
+    RouteField<&R::deadline>(
         {"deadline", Type::kDuration, kOptional, kMinDuration, kHour}),
-    OfRoute<&R::max_body_bytes>(
+    RouteField<&R::max_body_bytes>(
         {"max_body_bytes", Type::kBytes, kOptional, 0, kMaxBytes}),
 };
 
 constexpr std::array kMoveFields = {
-    OfMove<&M::service>({"service", Type::kName, kRequired}),
-    OfMove<&M::from>({"from", Type::kName, kRequired}),
-    OfMove<&M::to>({"to", Type::kName, kRequired}),
-    OfMove<&M::start>({"start", Type::kTime, kRequired}),
-    OfMove<&M::by>({"by", Type::kTime, kRequired}),
-    OfMove<&M::watch>({"watch", Type::kDuration, kOptional, 0, kDay}),
-    Bound<&MoveBounds::extra_failures>(
+    MoveField<&M::service>({"service", Type::kName, kRequired}),
+    MoveField<&M::from>({"from", Type::kName, kRequired}),
+    MoveField<&M::to>({"to", Type::kName, kRequired}),
+    MoveField<&M::start>({"start", Type::kTime, kRequired}),
+    MoveField<&M::by>({"by", Type::kTime, kRequired}),
+    MoveField<&M::watch>({"watch", Type::kDuration, kOptional, 0, kDay}),
+    BoundsField<&MoveBounds::extra_failures>(
         {"bounds/extra_failures", Type::kNumber, kOptional, 0, 1}),
-    Bound<&MoveBounds::slowdown>(
+    BoundsField<&MoveBounds::slowdown>(
         {"bounds/slowdown", Type::kNumber, kOptional, 1, 1000}),
-    OfMove<&M::withdrawn>({"withdrawn", Type::kBool, kOptional}),
+    MoveField<&M::withdrawn>({"withdrawn", Type::kBool, kOptional}),
 };
 
 constexpr std::array kLimitsFields = {
-    OfLimits<&L::max_header_bytes>(
+    LimitsField<&L::max_header_bytes>(
         {"max_header_bytes", Type::kBytes, kOptional, 256, 1 << 20}),
-    OfLimits<&L::max_body_bytes>(
+    LimitsField<&L::max_body_bytes>(
         {"max_body_bytes", Type::kBytes, kOptional, 0, kMaxBytes}),
-    OfLimits<&L::body_memory_bytes>(
+    LimitsField<&L::body_memory_bytes>(
         {"body_memory_bytes", Type::kBytes, kOptional, 0, kMaxBytes}),
-    OfLimits<&L::retry_budget>(
+    LimitsField<&L::retry_budget>(
         {"retry_budget", Type::kNumber, kOptional, 0, 1}),
-    OfLimits<&L::silence>(
+    LimitsField<&L::silence>(
         {"silence", Type::kDuration, kOptional, kMinDuration, kHour}),
 };
 
 template <class Visitor>
 void ForEachRule(Section section, Visitor visit) {
-  const auto each = [&visit](const auto& fields) {
+  const auto visit_rules = [&visit](const auto& fields) {
     for (const auto& field : fields)
       visit(field.rule);
   };
   switch (section) {
     case Section::kServices:
-      return each(kServiceFields);
+      return visit_rules(kServiceFields);
     case Section::kRoutes:
-      return each(kRouteFields);
+      return visit_rules(kRouteFields);
     case Section::kMoves:
-      return each(kMoveFields);
+      return visit_rules(kMoveFields);
     case Section::kLimits:
-      return each(kLimitsFields);
+      return visit_rules(kLimitsFields);
     default:
       return;
   }
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -28,7 +28,7 @@
                  Interval("announcement_lease", timings.announcement_lease)});
 }
 
-Key LogKey(LogSettings& log) {
+Key LogKey(LogServiceSettings& log) {
   return MapKey(
       "log", kRequired,
       {AddressKey("address", kRequired, log.address),
@@ -67,44 +67,45 @@
 }
 
 // Whether two sockets at these addresses would be one and the same.
-bool Clash(const Address& a, const Address& b) {
+bool Conflict(const Address& a, const Address& b) {
   return a.port == b.port && (a.host == b.host || IsAnyHost(a) || IsAnyHost(b));
 }
 
 // What no single field shows to be wrong.
-Result<void> CheckTogether(const std::string& file,
-                           const YAML::Node& root,
-                           const NodeSettings& settings) {
-  const auto wrong = [&](const std::string& key, const std::string& path,
-                         std::string_view text) {
+Result<void> CheckConsistency(const std::string& file,
+                              const YAML::Node& root,
+                              const NodeSettings& settings) {
+  const auto invalid = [&](const std::string& key, const std::string& path,
+                           std::string_view text) {
     const YAML::Node node = root[key];
-    return WrongSetting({file, path, node, node ? LineOf(node) : 1}, text);
+    return InvalidSetting({file, path, node, node ? LineOf(node) : 1}, text);
   };
   if (!IsLoopback(settings.announce)) {
-    return wrong("announce", "announce",
-                 "expected a loopback address such as 127.0.0.1:8081");
+    return invalid("announce", "announce",
+                   "expected a loopback address such as 127.0.0.1:8081");
   }
-  if (Clash(settings.control, settings.http) ||
-      Clash(settings.control, settings.announce)) {
-    return wrong("control", "control",
-                 "expected another port than http and announce");
+  if (Conflict(settings.control, settings.http) ||
+      Conflict(settings.control, settings.announce)) {
+    return invalid("control", "control",
+                   "expected another port than http and announce");
   }
   // A node that is its own upstream would pass each request to itself until
   // nothing is left to hold it.
   for (const Address& own :
        {settings.http, settings.control, settings.announce}) {
-    if (Clash(settings.upstream, own)) {
-      return wrong("upstream", "upstream",
-                   "expected another port than http, control and announce");
+    if (Conflict(settings.upstream, own)) {
+      return invalid("upstream", "upstream",
+                     "expected another port than http, control and announce");
     }
   }
   if (settings.timings.probe_timeout >= settings.timings.probe_interval) {
-    return wrong("timings", "timings/probe_timeout",
-                 "expected less than timings/probe_interval");
+    return invalid("timings", "timings/probe_timeout",
+                   "expected less than timings/probe_interval");
   }
   if (settings.remote_seeds.contains(settings.data_center)) {
-    return wrong("remote_seeds", "remote_seeds",
-                 "expected other data centres only; seeds is for the own one");
+    return invalid(
+        "remote_seeds", "remote_seeds",
+        "expected other data centres only; seeds is for the own one");
   }
   return {};
 }
@@ -117,12 +118,12 @@
   if (!node)
     return tl::make_unexpected(node.error());
   NodeSettings settings;
-  if (const auto done = ReadMap({file, "", *node}, KeysOf(settings)); !done)
-    return tl::make_unexpected(done.error());
+  if (const auto result = ReadMap({file, "", *node}, KeysOf(settings)); !result)
+    return tl::make_unexpected(result.error());
   if (settings.announce.port == 0)
     settings.announce = {"127.0.0.1", settings.http.port};
-  if (const auto done = CheckTogether(file, *node, settings); !done)
-    return tl::make_unexpected(done.error());
+  if (const auto result = CheckConsistency(file, *node, settings); !result)
+    return tl::make_unexpected(result.error());
   return settings;
 }
 
--- a/src/config/settings_reader.cc
+++ b/src/config/settings_reader.cc
@@ -12,7 +12,7 @@
 namespace teaselspread {
 namespace {
 
-using Done = Result<void>;
+using ReadResult = Result<void>;
 using Item = SettingsItem;
 using Key = SettingsKey;
 
@@ -26,40 +26,41 @@
   return names;
 }
 
-Done ReadKey(const std::vector<Key>& keys,
-             const Item& item,
-             const std::string& name) {
+ReadResult ReadKey(const std::vector<Key>& keys,
+                   const Item& item,
+                   const std::string& name) {
   for (const Key& key : keys) {
     if (key.name == name)
       return key.read(item);
   }
-  return WrongSetting(
+  return InvalidSetting(
       item, Concat("unknown field, expected one of: ", NamesOf(keys)));
 }
 
 Result<std::string> ScalarOf(const Item& item, std::string_view expected) {
   if (!item.node.IsScalar())
-    return WrongSetting(item, Concat(expected, ", got ", KindOf(item.node)));
+    return InvalidSetting(item,
+                          Concat(expected, ", got ", DescribeKind(item.node)));
   return item.node.Scalar();
 }
 
 // Reads one value with `parse`, which gives nothing for a bad one.
 template <class T, class Parse>
-Done ReadValue(const Item& item,
-               std::string_view expected,
-               T& target,
-               Parse parse) {
+ReadResult ReadValue(const Item& item,
+                     std::string_view expected,
+                     T& target,
+                     Parse parse) {
   const auto text = ScalarOf(item, expected);
   if (!text)
     return tl::make_unexpected(text.error());
   auto value = parse(*text);
   if (!value)
-    return WrongSetting(item, Concat(expected, ", got ", Shown(*text)));
+    return InvalidSetting(item, Concat(expected, ", got ", Quoted(*text)));
   target = std::move(*value);
   return {};
 }
 
-Done ReadName(const Item& item, std::string& name) {
+ReadResult ReadName(const Item& item, std::string& name) {
   return ReadValue(item, kNameExpectation, name,
                    [](const std::string& text) -> std::optional<std::string> {
                      if (!IsName(text))
@@ -68,36 +69,37 @@
                    });
 }
 
-Done ReadAddress(const Item& item, Address& address) {
+ReadResult ReadAddress(const Item& item, Address& address) {
   return ReadValue(item,
                    "expected an IP number and a port such as 10.0.0.1:8080",
                    address, ParseAddress);
 }
 
-Done ReadAddresses(const Item& item, std::vector<Address>& addresses) {
+ReadResult ReadAddresses(const Item& item, std::vector<Address>& addresses) {
   if (!item.node.IsSequence()) {
-    return WrongSetting(
-        item, Concat("expected a list of addresses, got ", KindOf(item.node)));
+    return InvalidSetting(item, Concat("expected a list of addresses, got ",
+                                       DescribeKind(item.node)));
   }
   for (const YAML::Node& node : item.node) {
     const Item element{item.file, item.path, node, LineOf(node)};
-    if (auto done = ReadAddress(element, addresses.emplace_back()); !done)
-      return done;
+    if (auto result = ReadAddress(element, addresses.emplace_back()); !result)
+      return result;
   }
   return {};
 }
 
 template <class T>
-Done ReadBounded(const Item& item,
-                 std::string_view expected,
-                 const FieldRule& rule,
-                 T& value) {
+ReadResult ReadBounded(const Item& item,
+                       std::string_view expected,
+                       const FieldRule& rule,
+                       T& value) {
   const auto text = ScalarOf(item, expected);
   if (!text)
     return tl::make_unexpected(text.error());
   const auto parsed = ParseScalar(rule, *text);
   if (!parsed)
-    return WrongSetting(item, Concat(parsed.error(), ", got ", Shown(*text)));
+    return InvalidSetting(item,
+                          Concat(parsed.error(), ", got ", Quoted(*text)));
   value = std::get<T>(*parsed);
   return {};
 }
@@ -110,24 +112,24 @@
   return std::nullopt;
 }
 
-Done ReadRemoteSeeds(const Item& item,
-                     std::map<std::string, std::vector<Address>>& seeds) {
+ReadResult ReadRemoteSeeds(const Item& item,
+                           std::map<std::string, std::vector<Address>>& seeds) {
   if (!item.node.IsMap()) {
-    return WrongSetting(
+    return InvalidSetting(
         item, Concat("expected a map from data centre to addresses, got ",
-                     KindOf(item.node)));
+                     DescribeKind(item.node)));
   }
   for (const auto& pair : item.node) {
     std::string name;
     const Item key{item.file, item.path, pair.first, LineOf(pair.first)};
-    if (auto done = ReadName(key, name); !done)
-      return done;
+    if (auto result = ReadName(key, name); !result)
+      return result;
     const Item value{item.file, Concat(item.path, "/", name), pair.second,
                      key.line};
     if (seeds.contains(name))
-      return WrongSetting(value, "stands twice");
-    if (auto done = ReadAddresses(value, seeds[name]); !done)
-      return done;
+      return InvalidSetting(value, "stands twice");
+    if (auto result = ReadAddresses(value, seeds[name]); !result)
+      return result;
   }
   return {};
 }
@@ -138,33 +140,33 @@
   return kLevelNames.at(static_cast<std::size_t>(level));
 }
 
-tl::unexpected<Error> WrongSetting(const Item& item, std::string_view text) {
+tl::unexpected<Error> InvalidSetting(const Item& item, std::string_view text) {
   return Fail(ErrorKind::kSettings,
               Concat(item.file, ":", item.line, ": ",
                      item.path.empty() ? "settings" : item.path, ": ", text));
 }
 
-Done ReadMap(const Item& item, const std::vector<Key>& keys) {
+ReadResult ReadMap(const Item& item, const std::vector<Key>& keys) {
   if (!item.node.IsMap())
-    return WrongSetting(item,
-                        Concat("expected a map, got ", KindOf(item.node)));
+    return InvalidSetting(
+        item, Concat("expected a map, got ", DescribeKind(item.node)));
   std::set<std::string> seen;
   for (const auto& pair : item.node) {
     if (!pair.first.IsScalar())
-      return WrongSetting(item, "expected a name as key");
+      return InvalidSetting(item, "expected a name as key");
     const std::string name = pair.first.Scalar();
     const Item value{item.file,
                      item.path.empty() ? name : Concat(item.path, "/", name),
                      pair.second, LineOf(pair.first)};
     // yaml-cpp would take one of the two without a word.
     if (!seen.insert(name).second)
-      return WrongSetting(value, "stands twice");
-    if (auto done = ReadKey(keys, value, name); !done)
-      return done;
+      return InvalidSetting(value, "stands twice");
+    if (auto result = ReadKey(keys, value, name); !result)
+      return result;
   }
   for (const Key& key : keys) {
     if (key.required && !seen.contains(std::string(key.name)))
-      return WrongSetting(item, Concat("missing field ", key.name));
+      return InvalidSetting(item, Concat("missing field ", key.name));
   }
   return {};
 }
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -34,8 +34,8 @@
 inline constexpr bool kOptional = false;
 
 // "file:line: field: text" of kind kSettings. Thread safe.
-[[nodiscard]] tl::unexpected<Error> WrongSetting(const SettingsItem& item,
-                                                 std::string_view text);
+[[nodiscard]] tl::unexpected<Error> InvalidSetting(const SettingsItem& item,
+                                                   std::string_view text);
 
 // Reads a map: refuses keys that are unknown, stand twice or are missing.
 // Not thread safe while the keys write to shared members.
--- a/src/config/yaml.cc
+++ b/src/config/yaml.cc
@@ -6,7 +6,7 @@
 
 namespace teaselspread {
 
-std::string_view KindOf(const YAML::Node& node) {
+std::string_view DescribeKind(const YAML::Node& node) {
   switch (node.Type()) {
     case YAML::NodeType::Scalar:
       return "one value";
@@ -21,12 +21,12 @@
   return "nothing";
 }
 
-std::string Shown(std::string_view text) {
-  constexpr std::size_t kShown = 40;
-  std::string shown;
-  for (const char c : text.substr(0, kShown))
-    shown += absl::ascii_isprint(static_cast<unsigned char>(c)) ? c : '?';
-  return Concat("\"", shown, text.size() > kShown ? "..." : "", "\"");
+std::string Quoted(std::string_view text) {
+  constexpr std::size_t kMaxQuotedSize = 40;
+  std::string quoted;
+  for (const char c : text.substr(0, kMaxQuotedSize))
+    quoted += absl::ascii_isprint(static_cast<unsigned char>(c)) ? c : '?';
+  return Concat("\"", quoted, text.size() > kMaxQuotedSize ? "..." : "", "\"");
 }
 
 int LineOf(const YAML::Node& node) {
--- a/src/config/yaml.h
+++ b/src/config/yaml.h
@@ -12,11 +12,11 @@
 namespace teaselspread {
 
 // "a map", "a list", "one value" or "nothing". Thread safe.
-[[nodiscard]] std::string_view KindOf(const YAML::Node& node);
+[[nodiscard]] std::string_view DescribeKind(const YAML::Node& node);
 
 // What stands in the file, in quotes, cut short and without line breaks, so
 // that a message stays one line. Thread safe.
-[[nodiscard]] std::string Shown(std::string_view text);
+[[nodiscard]] std::string Quoted(std::string_view text);
 
 // The line of a node, from 1. Thread safe.
 [[nodiscard]] int LineOf(const YAML::Node& node);
--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -433,7 +433,7 @@
 }
 
 bool Entry::MayRepeat(Pending& pending, ErrorKind kind, bool not_run) {
-  if (pending.attempts >= pending.route->most_attempts)
+  if (pending.attempts >= pending.route->max_attempts)
     return false;
   if (std::find(pending.tried.begin(), pending.tried.end(), pending.node) ==
       pending.tried.end())
--- a/src/node/log_service.h
+++ b/src/node/log_service.h
@@ -42,7 +42,7 @@
 // The log blocks for seconds in an outage, so reads and appends have a thread
 // each; both only post messages to the kernel's thread.
 struct LogService {
-  LogSettings settings;
+  LogServiceSettings settings;
   TimingSettings timings;
   std::string deployment;
   std::string vm;
--- a/tests/contract/platform_test.cc
+++ b/tests/contract/platform_test.cc
@@ -45,7 +45,7 @@
   cr_assert_str_eq(lodge.host.c_str(), "desk.example");
   cr_assert_not(lodge.idempotent);
   cr_assert(lodge.deadline == std::chrono::milliseconds(1000));
-  cr_assert(lodge.most_attempts == 1);
+  cr_assert(lodge.max_attempts == 1);
   const RouteConfig& view = snapshot->routes[1];
   cr_assert(view.idempotent);
   cr_assert(view.split.size() == 2 && view.split[1].weight == 10);
--- a/tests/unit/config_source_test.cc
+++ b/tests/unit/config_source_test.cc
@@ -36,16 +36,16 @@
   return LoadSources({{"base.yaml", base}, {{"bole", {"bole.yaml", bole}}}});
 }
 
-struct BadSource {
+struct InvalidSource {
   const char* name;
   // The good base with this text in the place of that.
-  const char* that;
-  const char* with;
+  const char* replaced;
+  const char* replacement;
   const char* overlay;
   const char* message;
 };
 
-const std::vector<BadSource> kBadSources = {
+const std::vector<InvalidSource> kInvalidSources = {
     {"not YAML", "deployment:", "deployment: [", "", "base.yaml:"},
     {"list at the root", "deployment: addis", "- a", "", "base.yaml:"},
     {"no deployment", "deployment: addis\n", "", "",
@@ -138,25 +138,26 @@
 };
 
 std::string Replaced(std::string text,
-                     const std::string& that,
-                     const std::string& with) {
-  const std::size_t at = text.find(that);
-  cr_assert(at != std::string::npos, "%s", that.c_str());
-  return text.replace(at, that.size(), with);
+                     const std::string& replaced,
+                     const std::string& replacement) {
+  const std::size_t at = text.find(replaced);
+  cr_assert(at != std::string::npos, "%s", replaced.c_str());
+  return text.replace(at, replaced.size(), replacement);
 }
 
 // An operator publishes a file with a slip of the pen. Taken as it stands, a
 // route would point at a service that no proxy has, and clerks would be told
 // that their case does not exist.
 Test(config_source, each_bad_file_gives_one_line_with_its_place) {
-  for (const BadSource& bad : kBadSources) {
+  for (const InvalidSource& invalid : kInvalidSources) {
     const auto document =
-        Load(Replaced(kBase, bad.that, bad.with), bad.overlay);
-    cr_assert(!document.has_value(), "%s", bad.name);
+        Load(Replaced(kBase, invalid.replaced, invalid.replacement),
+             invalid.overlay);
+    cr_assert(!document.has_value(), "%s", invalid.name);
     const std::string& message = document.error().message;
-    cr_assert(message.starts_with(bad.message), "%s: %s", bad.name,
+    cr_assert(message.starts_with(invalid.message), "%s: %s", invalid.name,
               message.c_str());
-    cr_assert(message.find('\n') == std::string::npos, "%s", bad.name);
+    cr_assert(message.find('\n') == std::string::npos, "%s", invalid.name);
   }
 }
 
@@ -192,7 +193,7 @@
 // A record in the log carries leaves that no file ever had: a reader must not
 // stumble over a path that ends early or names no field.
 Test(config_source, paths_that_no_file_gives_are_refused) {
-  const Document good = *Load(kBase, kOverlay);
+  const Document valid_document = *Load(kBase, kOverlay);
   const std::vector<const char*> parts = {
       "base",    "overlay", "bole",       "services", "registry-desk",
       "version", "",        "deployment", "limits",   "data_centers",
@@ -203,9 +204,9 @@
     std::string path = rng() % 3 == 0 ? "" : "base/";
     for (std::size_t i = rng() % 5; i > 0; --i)
       path += std::string(parts[rng() % parts.size()]) + (i > 1 ? "/" : "");
-    if (good.leaves.contains(path))
+    if (valid_document.leaves.contains(path))
       continue;
-    Document document = good;
+    Document document = valid_document;
     document.leaves[path] = rng() % 2 == 0 ? "v1" : std::string(kDeletedLeaf);
     const bool valid = ValidateAll(document).has_value();
     const bool may_be_valid =
--- a/tests/unit/settings_test.cc
+++ b/tests/unit/settings_test.cc
@@ -8,7 +8,7 @@
 namespace teaselspread {
 namespace {
 
-const std::string kGood = R"(vm: bole-01
+const std::string kValidSettings = R"(vm: bole-01
 deployment: addis
 data_center: bole
 http: 10.1.0.1:8080
@@ -21,15 +21,15 @@
 timings: {probe_interval: 300ms, probe_timeout: 100ms}
 )";
 
-struct BadSettings {
+struct InvalidSettings {
   const char* name;
   // The good file with this text in the place of that.
-  const char* that;
-  const char* with;
+  const char* replaced;
+  const char* replacement;
   const char* message;
 };
 
-const std::vector<BadSettings> kBadSettings = {
+const std::vector<InvalidSettings> kInvalidSettings = {
     {"missing field", "vm: bole-01\n", "",
      "n.yaml:1: settings: missing field vm"},
     {"unknown field", "vm: bole-01", "vm: bole-01\nvn: x",
@@ -73,15 +73,15 @@
 };
 
 std::string Replaced(std::string text,
-                     const std::string& that,
-                     const std::string& with) {
-  const std::size_t at = text.find(that);
-  cr_assert(at != std::string::npos, "%s", that.c_str());
-  return text.replace(at, that.size(), with);
+                     const std::string& replaced,
+                     const std::string& replacement) {
+  const std::size_t at = text.find(replaced);
+  cr_assert(at != std::string::npos, "%s", replaced.c_str());
+  return text.replace(at, replaced.size(), replacement);
 }
 
 Test(settings, a_good_file_is_read_whole) {
-  const auto settings = ParseNodeSettings("n.yaml", kGood);
+  const auto settings = ParseNodeSettings("n.yaml", kValidSettings);
   cr_assert(settings.has_value(), "%s", settings.error().message.c_str());
   cr_assert(settings->vm == "bole-01");
   cr_assert(ToString(settings->http) == "10.1.0.1:8080");
@@ -97,15 +97,17 @@
 // An operator mistypes a field. A node that started anyway, with a default in
 // its place, would look well and stand at the wrong address or data centre.
 Test(settings, each_bad_field_gives_one_line_with_its_place) {
-  for (const BadSettings& bad : kBadSettings) {
-    const auto settings =
-        ParseNodeSettings("n.yaml", Replaced(kGood, bad.that, bad.with));
-    cr_assert(!settings.has_value(), "%s", bad.name);
+  for (const InvalidSettings& invalid : kInvalidSettings) {
+    const auto settings = ParseNodeSettings(
+        "n.yaml",
+        Replaced(kValidSettings, invalid.replaced, invalid.replacement));
+    cr_assert(!settings.has_value(), "%s", invalid.name);
     const Error& error = settings.error();
-    cr_assert(error.kind == ErrorKind::kSettings, "%s", bad.name);
-    cr_assert(error.message.starts_with(bad.message), "%s: %s", bad.name,
-              error.message.c_str());
-    cr_assert(error.message.find('\n') == std::string::npos, "%s", bad.name);
+    cr_assert(error.kind == ErrorKind::kSettings, "%s", invalid.name);
+    cr_assert(error.message.starts_with(invalid.message), "%s: %s",
+              invalid.name, error.message.c_str());
+    cr_assert(error.message.find('\n') == std::string::npos, "%s",
+              invalid.name);
   }
 }
 
