--- a/include/teaselspread/config.h
+++ b/include/teaselspread/config.h
@@ -1,8 +1,8 @@
-// The operators' configuration: from YAML sources to one flat document, and
-// from a document to the typed snapshot of one data centre.
+// The operators' configuration: parses YAML sources into one flat document and
+// renders the typed snapshot of one data centre from a document.
 //
-// All functions here are pure: no clock, file or socket. They are thread safe
-// as long as no other thread changes their arguments.
+// All functions here are pure: they use no clock, file or socket. They are
+// thread safe as long as no other thread modifies their arguments.
 #ifndef TEASELSPREAD_CONFIG_H_
 #define TEASELSPREAD_CONFIG_H_
 
@@ -18,21 +18,21 @@
 
 namespace teaselspread {
 
-// Base file and all overlays as sorted leaves, each value in canonical text:
+// The base file and all overlays as sorted leaves, values in canonical text:
 // "base/services/registry-desk/version" -> "v1" and
 // "overlay/bole/services/registry-desk/queue_limit" -> "32".
-// Flat, so that a delta and a digest need no knowledge of the schema.
+// Flat, so that deltas and digests do not depend on the schema.
 struct Document {
   std::map<std::string, std::string> leaves;
 
   bool operator==(const Document&) const = default;
 };
 
-// Value of an overlay leaf that deletes the base's entry or field. No valid
-// scalar begins with '!'.
+// Value of an overlay leaf that deletes the entry or field of the base file. No
+// valid scalar starts with '!'.
 inline constexpr std::string_view kDeletedLeaf = "!deleted";
 
-// One source file: the name is only used in messages.
+// One source file; the name is only used in messages.
 struct SourceText {
   std::string file;
   std::string text;
@@ -49,26 +49,27 @@
 // kConfigInvalid (anything else). Thread safe.
 [[nodiscard]] Result<Document> LoadSources(const ConfigSources& sources);
 
-// Merges base and overlay of `data_center` and makes the checked snapshot: no
-// unknown field, no value out of range, no reference without its target. Fails
-// with kConfigInvalid and never gives a part. Thread safe.
+// Merges the base file with the overlay of `data_center` and returns a
+// validated snapshot: no unknown field, value out of range or dangling
+// reference. Fails with kConfigInvalid; never returns a partial snapshot.
+// Thread safe.
 [[nodiscard]] Result<SnapshotPtr> Render(const Document& document,
                                          std::string_view data_center,
                                          ConfigVersion version);
 
-// Renders every data centre and gives the first error. Thread safe.
+// Renders every data centre and returns the first error. Thread safe.
 [[nodiscard]] Result<void> ValidateAll(const Document& document);
 
-// What the fold asks of a change: `after` is valid, and every move that both
-// have is still the same move. Thread safe.
+// The checks of the fold on a change: `after` is valid, and every move in both
+// documents keeps its identity. Thread safe.
 [[nodiscard]] Result<void> ValidateChange(const Document& before,
                                           const Document& after);
 
-// The data centres that the document names, sorted; empty if it names none.
+// The data centres listed in the document, sorted; empty if there are none.
 // Thread safe.
 [[nodiscard]] std::vector<std::string> DataCentersOf(const Document& document);
 
-// 128 bits over all leaves: equal documents have equal digests on every
+// 128-bit hash of all leaves: equal documents have equal digests on every
 // machine.
 struct Digest {
   std::uint64_t high = 0;
@@ -77,13 +78,13 @@
   bool operator==(const Digest&) const = default;
 };
 
-// Digest of `document`, without its version. Thread safe.
+// Digest of the leaves of `document`; excludes the version. Thread safe.
 [[nodiscard]] Digest DigestOf(const Document& document);
 
 // 32 hexadecimal digits. Thread safe.
 [[nodiscard]] std::string ToString(const Digest& digest);
 
-// What turns one document into another.
+// Changes that turn one document into another.
 struct Delta {
   std::map<std::string, std::string> set;
   // Sorted paths.
@@ -92,11 +93,11 @@
   bool operator==(const Delta&) const = default;
 };
 
-// The smallest delta with ApplyDelta(from, delta) == to. Thread safe.
+// The minimal delta with ApplyDelta(from, delta) == to. Thread safe.
 [[nodiscard]] Delta MakeDelta(const Document& from, const Document& to);
 
-// The document that `delta` makes of `from`. Paths to remove that `from` lacks
-// are ignored: the digest of the result tells. Thread safe.
+// Returns `from` with `delta` applied. Removed paths that `from` lacks are
+// ignored; callers compare the digest of the result. Thread safe.
 [[nodiscard]] Document ApplyDelta(Document from, const Delta& delta);
 
 }  // namespace teaselspread
--- a/include/teaselspread/settings.h
+++ b/include/teaselspread/settings.h
@@ -1,4 +1,4 @@
-// Settings of the daemons: what one process on one VM is told at its start.
+// Settings of the daemons, read by one process on one VM at startup.
 #ifndef TEASELSPREAD_SETTINGS_H_
 #define TEASELSPREAD_SETTINGS_H_
 
@@ -14,32 +14,33 @@
 
 namespace teaselspread {
 
-// Where the process writes its own log; an empty file means standard error.
+// Destination and level of the process's own log; an empty file means standard
+// error.
 struct LoggingSettings {
   std::string file;
   LogLevel level = LogLevel::kInfo;
 };
 
-// Intervals that suit data centres 1 to 2 ms apart.
+// The defaults suit data centres 1 to 2 ms apart.
 struct TimingSettings {
-  // Between probes of two members (SWIM's protocol period).
+  // Interval between probes of two members (SWIM's protocol period).
   Duration probe_interval = std::chrono::seconds(1);
-  // Answer of a probed member.
+  // Maximum time for the response of a probed member.
   Duration probe_timeout = std::chrono::milliseconds(300);
-  // How long one read of the log waits for news.
+  // Time for which one read of the log waits for new records (long poll).
   Duration log_poll = std::chrono::seconds(2);
-  // One call to the log.
+  // Time-out of one call to the log.
   Duration log_timeout = std::chrono::seconds(2);
-  // Between exchanges with another data centre.
+  // Interval between exchanges with another data centre.
   Duration exchange_interval = std::chrono::seconds(1);
-  // After which an upstream that did not renew its announcement is gone.
+  // Time after which an announcement that its upstream did not renew expires.
   Duration announcement_lease = std::chrono::seconds(3);
 };
 
-// The platform's log service as far as readers must know it.
+// The parameters of the platform's log service that its readers need.
 struct LogServiceSettings {
   Address address;
-  // How long it keeps a record.
+  // Time for which the log service keeps a record.
   Duration retention = std::chrono::hours(24);
 };
 
@@ -48,17 +49,17 @@
   std::string vm;
   std::string deployment;
   std::string data_center;
-  // Callers, other nodes' requests and operators.
+  // Listens for callers, requests of other nodes, and operators.
   Address http;
-  // Messages between nodes, UDP and TCP on one number.
+  // Messages between nodes; UDP and TCP use the same port number.
   Address control;
-  // Announcements of the upstream on this VM, on the loopback interface. If the
-  // file leaves it out: 127.0.0.1 at the port of `http`.
+  // Announcements of the upstream on this VM, on the loopback interface.
+  // Default: 127.0.0.1 with the port of `http`.
   Address announce;
   // The upstream on this VM.
   Address upstream;
   LogServiceSettings log;
-  // Control addresses of some nodes of the own data centre.
+  // Control addresses of some nodes of the local data centre.
   std::vector<Address> seeds;
   // The same for each other data centre.
   std::map<std::string, std::vector<Address>> remote_seeds;
@@ -66,20 +67,20 @@
   TimingSettings timings;
 };
 
-// Reads the file. Every field is checked; an error is one line "file:line:
-// field: what was expected" of kind kSettings. Blocks on the file. Thread safe.
+// Reads and validates the file. An error is one line "file:line: field: what
+// was expected" of kind kSettings. Blocks on file I/O. Thread safe.
 [[nodiscard]] Result<NodeSettings> LoadNodeSettings(const std::string& path);
 
-// The same from text that was read from `file`. Thread safe.
+// Parses and validates text that was read from `file`. Thread safe.
 [[nodiscard]] Result<NodeSettings> ParseNodeSettings(const std::string& file,
                                                      const std::string& text);
 
-// "10.0.0.1:8080", or "[::1]:8080". Host must be an IP number: processes learn
-// addresses from their settings and ask no name service. Fails with kSettings.
-// Thread safe.
+// Parses "10.0.0.1:8080" or "[::1]:8080". The host must be an IP address, since
+// processes take addresses from their settings and do no name resolution. Fails
+// with kSettings. Thread safe.
 [[nodiscard]] Result<Address> ParseAddress(std::string_view text);
 
-// The form that ParseAddress reads. Thread safe.
+// Formats an address in the form that ParseAddress reads. Thread safe.
 [[nodiscard]] std::string ToString(const Address& address);
 
 }  // namespace teaselspread
--- a/include/teaselspread/snapshot.h
+++ b/include/teaselspread/snapshot.h
@@ -1,4 +1,4 @@
-// One configuration in force at one data centre: the typed, checked form.
+// The typed and validated configuration of one data centre.
 #ifndef TEASELSPREAD_SNAPSHOT_H_
 #define TEASELSPREAD_SNAPSHOT_H_
 
@@ -16,7 +16,7 @@
 
 namespace teaselspread {
 
-// Order in which waiting requests are served: lower runs first.
+// Order in which waiting requests are served: lower values run first.
 enum class Priority : std::uint8_t { kInternal, kNormal, kBackground };
 
 // "internal", "normal" or "background". Thread safe.
@@ -24,33 +24,33 @@
 
 struct ServiceConfig {
   std::string name;
-  // Version that serves while no move of the service has changed it.
+  // Version that serves until a move of the service changes it.
   std::string version;
-  // Path of the upstreams' health check; empty without one.
+  // Path of the upstreams' health check; empty if there is none.
   std::string health_path;
   // Requests that may wait at one gatekeeper.
   int queue_limit = 64;
   // Connections that one target accepts.
   int connections = 128;
-  // Time over which a cold upstream's share grows to its full one.
+  // Time over which a cold upstream's traffic share ramps up to its full share.
   Duration warm_up = std::chrono::seconds(5);
 };
 
-// One part of a route that is split between services.
+// One service of a route that is split between services.
 struct WeightedService {
   std::string service;
-  // Share of the route's requests, relative to the other parts.
+  // Share of the route's requests, relative to the other services.
   std::uint32_t weight = 0;
 };
 
 struct RouteConfig {
   std::string name;
   std::string service;
-  // Instead of `service`, where the route is split; empty otherwise.
+  // Replaces `service` if the route is split; empty otherwise.
   std::vector<WeightedService> split;
-  // Host that the route belongs to, in lower case; empty fits every host.
+  // Host that the route matches, in lower case; empty matches every host.
   std::string host;
-  // Upstreams to which one request may be sent.
+  // Attempts per request: upstreams to which one request may be sent.
   int max_attempts = 3;
   std::string method;
   std::string path_prefix;
@@ -58,16 +58,16 @@
   // Non-idempotent requests need an Idempotency-Key and run at most once.
   bool idempotent = true;
   Duration deadline = std::chrono::seconds(2);
-  // Time within which an answer is worth most to its caller; zero when the
-  // operators name none.
+  // Soft deadline: a response within this time has the highest value for its
+  // caller. Zero if the operators configure none.
   Duration aim{};
   std::size_t max_body_bytes = 1U << 20;
 };
 
-// Bounds beyond which the new version counts as bad, compared with the old one
-// at the same time on the same route.
+// Bounds beyond which the new version counts as failing, compared with the old
+// version at the same time on the same route.
 struct MoveBounds {
-  // Added failure ratio, 0..1.
+  // Increase of the failure ratio, 0..1.
   double extra_failures = 0.02;
   // Factor on latency.
   double slowdown = 2.0;
@@ -80,29 +80,29 @@
   std::string to;
   TimePoint start;
   TimePoint by;
-  // Time at full share without a fault before the move counts as done.
+  // Time at full share without a failure before the move counts as done.
   Duration watch = std::chrono::seconds(30);
   MoveBounds bounds;
-  // The operator takes the move back by setting this.
+  // Set by the operator to roll back the move.
   bool withdrawn = false;
 };
 
 struct LimitsConfig {
   std::size_t max_header_bytes = 4096;
   std::size_t max_body_bytes = 64U << 20;
-  // Bytes of bodies that one node holds at a time.
+  // Total bytes of bodies that one node holds at a time.
   std::size_t body_memory_bytes = 256U << 20;
-  // Retries allowed as a share of recent first attempts.
+  // Retries allowed as a fraction of recent first attempts.
   double retry_budget = 0.1;
-  // Longest stretch without a byte on a connection in use.
+  // Maximum time without a byte on a connection in use.
   Duration silence = std::chrono::seconds(5);
-  // A caller's request headers have to be complete within this.
+  // Time within which a caller's request headers must be complete.
   Duration header_timeout = std::chrono::seconds(3);
-  // A caller's connection may rest this long between requests.
+  // Maximum idle time of a caller's connection between requests.
   Duration idle_timeout = std::chrono::seconds(15);
 };
 
-// Immutable once made. A request keeps the one it began with.
+// Immutable once created. A request uses the same snapshot until it ends.
 struct Snapshot
     : boost::intrusive_ref_counter<Snapshot, boost::thread_safe_counter> {
   ConfigVersion version = 0;
--- a/src/config/archive.h
+++ b/src/config/archive.h
@@ -1,4 +1,5 @@
-// Texts and leaves in cereal archives, bounded by the bytes that are there.
+// Reads and writes strings and leaves in cereal archives. Memory use on load is
+// bounded by the size of the input.
 #ifndef TEASELSPREAD_CONFIG_ARCHIVE_H_
 #define TEASELSPREAD_CONFIG_ARCHIVE_H_
 
@@ -23,9 +24,9 @@
   archive.saveBinary<1>(text.data(), static_cast<std::streamsize>(text.size()));
 }
 
-// cereal's own string load makes room for whatever size the bytes claim, so a
-// few bad bytes could take gigabytes. Reading in chunks fails at the end of the
-// input instead. Throws cereal::Exception.
+// cereal's own string load allocates whatever size the input declares, so a few
+// corrupt bytes could allocate gigabytes. Reading in chunks fails at the end of
+// the input instead. Throws cereal::Exception.
 inline void LoadText(InputArchive& archive, std::string& text) {
   std::uint32_t size = 0;
   archive(size);
@@ -39,8 +40,8 @@
   }
 }
 
-// Neighbours in sorted order share most of their path: each is written as the
-// length of the shared part and the rest.
+// Adjacent paths in sorted order share most of their prefix, so each path is
+// written as the length of the prefix shared with `previous` and the rest.
 void SavePath(OutputArchive& archive,
               std::string_view path,
               std::string_view previous);
--- a/src/config/delta.cc
+++ b/src/config/delta.cc
@@ -15,7 +15,8 @@
   void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
 };
 
-// The size goes first, so that no two lists of leaves give the same bytes.
+// Hashes the size before the text, so that different lists of leaves never hash
+// the same bytes.
 void UpdateHash(XXH3_state_t* state, std::string_view text) {
   std::array<unsigned char, 4> size{};
   for (std::size_t i = 0; i < size.size(); ++i)
--- a/src/config/delta.h
+++ b/src/config/delta.h
@@ -1,4 +1,4 @@
-// Deltas in place, their undoing, and one delta for several in a row.
+// Operations on deltas: application in place, inversion and composition.
 #ifndef TEASELSPREAD_CONFIG_DELTA_H_
 #define TEASELSPREAD_CONFIG_DELTA_H_
 
@@ -6,19 +6,19 @@
 
 namespace teaselspread {
 
-// As ApplyDelta. Not thread safe for one document.
+// Like ApplyDelta, but modifies `document`. Not thread safe per document.
 void ApplyInPlace(Document& document, const Delta& delta);
 
-// `delta` without the parts that change nothing in `document`. Thread safe.
+// `delta` without the changes that have no effect on `document`. Thread safe.
 [[nodiscard]] Delta EffectiveDelta(const Document& document,
                                    const Delta& delta);
 
-// What takes `delta` back once it is applied to `document`. Precondition: delta
-// is Needed(document, delta). Thread safe.
+// The delta that undoes `delta` after it is applied to `document`.
+// Precondition: delta == EffectiveDelta(document, delta). Thread safe.
 [[nodiscard]] Delta InverseDelta(const Document& document, const Delta& delta);
 
-// Makes `first` do what `first` and then `second` would do.
-// Not thread safe for one `first`.
+// Composes both deltas into `first`: `first`, then `second`.
+// Not thread safe per `first`.
 void Append(Delta& first, const Delta& second);
 
 }  // namespace teaselspread
--- a/src/config/entries.cc
+++ b/src/config/entries.cc
@@ -15,8 +15,8 @@
 
 constexpr std::size_t kMaxFields = 32;
 
-// Leaves of one entry, or of a section without entries: they lie side by side
-// and share this prefix, "services/registry-desk/".
+// Leaves of one entry, or of a section without entries. They are contiguous and
+// share a prefix such as "services/registry-desk/".
 struct LeafGroup {
   Section section = Section::kCount;
   std::string_view name;
@@ -24,7 +24,7 @@
   Leaves leaves;
 };
 
-// The part of `path` up to and with its first slash at or after `from`.
+// `path` up to and including its first slash at or after `from`.
 std::string_view PrefixThroughSlash(std::string_view path, std::size_t from) {
   return path.substr(0, path.find('/', from) + 1);
 }
@@ -33,7 +33,7 @@
   return prefix.substr(0, prefix.size() - (prefix.empty() ? 0 : 1));
 }
 
-// The group that the first leaf begins. Precondition: leaves is not empty.
+// The group that starts at the first leaf. Precondition: leaves is not empty.
 LeafGroup FirstGroup(Leaves leaves) {
   const std::string_view path = leaves.front().path;
   LeafGroup group;
@@ -135,8 +135,8 @@
   return {};
 }
 
-// Deployment and data centres are the same everywhere, so that an overlay
-// cannot give one data centre another idea of which others there are.
+// Deployment and data centres are only set in the base file, so that all data
+// centres agree on which data centres exist.
 Checked<void> CheckOnlyInBase(const LeafGroup& group) {
   const std::string_view origin = group.leaves.front().origin;
   if (group.prefix.empty() && origin.starts_with(kBasePrefix))
--- a/src/config/entries.h
+++ b/src/config/entries.h
@@ -1,4 +1,4 @@
-// From the merged leaves of one data centre to the entries of its snapshot.
+// Converts the merged leaves of one data centre to the entries of its snapshot.
 #ifndef TEASELSPREAD_CONFIG_ENTRIES_H_
 #define TEASELSPREAD_CONFIG_ENTRIES_H_
 
@@ -9,10 +9,9 @@
 
 namespace teaselspread {
 
-// Sets services, routes (the longest prefix first), moves and limits of
-// `snapshot`. Fails on an unknown section or field, a value out of its range,
-// or a field that is missing. Precondition: the leaves are sorted by path.
-// Thread safe.
+// Sets services, routes (longest prefix first), moves and limits of `snapshot`.
+// Fails on an unknown section or field, a value out of range, or a missing
+// field. Precondition: the leaves are sorted by path. Thread safe.
 [[nodiscard]] Checked<void> ReadEntries(const std::vector<MergedLeaf>& leaves,
                                         Snapshot& snapshot);
 
--- a/src/config/load.cc
+++ b/src/config/load.cc
@@ -1,4 +1,4 @@
-// From YAML sources to a document, with the source line of each leaf.
+// Loads YAML sources into a document and records the source line of each leaf.
 #include <set>
 
 #include <absl/strings/str_join.h>
@@ -14,7 +14,7 @@
 
 using ReadResult = Checked<void>;
 
-// Where each path, and each entry above it, stands in the sources.
+// Source position of a path, which names a leaf or an entry above leaves.
 struct SourceLocation {
   std::string_view file;
   int line = 0;
@@ -23,7 +23,7 @@
 struct Loader {
   Document document;
   std::map<std::string, SourceLocation> locations;
-  // The source being read, and its prefix in paths.
+  // The source being read, and the prefix of its paths.
   std::string_view file;
   std::string prefix;
   bool is_overlay = false;
@@ -56,9 +56,9 @@
   return StoreLeaf(loader, path, CanonicalText(*value));
 }
 
-// Calls `visit(key, path, value)` for each pair of a map. YAML lets a key stand
-// twice and yaml-cpp takes one of the two, so that an operator's second entry
-// would vanish without a word; it is refused here.
+// Calls `visit(key, path, value)` for each pair of a map. Rejects duplicate
+// keys: yaml-cpp accepts them and silently keeps only one, which would drop an
+// operator's second entry.
 template <class Visitor>
 ReadResult ForEachKey(Loader& loader,
                       const std::string& parent,
@@ -84,7 +84,7 @@
   return {};
 }
 
-// In an overlay, a null takes away what the base says.
+// In an overlay, a null deletes the entry or field of the base file.
 bool IsDeletion(const Loader& loader, const YAML::Node& node) {
   return loader.is_overlay && node.IsNull();
 }
@@ -122,7 +122,7 @@
           const YAML::Node& value) -> ReadResult {
         if (IsDeletion(loader, value))
           return StoreLeaf(loader, entry_path, std::string(kDeletedLeaf));
-        // An entry without fields would leave no leaf and vanish.
+        // An entry without fields has no leaves and would be lost.
         if (value.IsMap() && value.size() == 0)
           return Invalid(entry_path, "expected at least one field");
         return ReadFields(loader, entry_path, section, "", value);
@@ -171,7 +171,7 @@
                     const std::string& root,
                     const YAML::Node& node) {
   RecordLocation(loader, root, node);
-  // A file of comments only is an overlay that changes nothing.
+  // An overlay file may contain only comments and then changes nothing.
   if (loader.is_overlay && node.IsNull())
     return {};
   return ForEachKey(loader, root, node,
@@ -181,7 +181,7 @@
                     });
 }
 
-// The line of the nearest path at or above `path` that the sources contain.
+// The location of `path` or its nearest ancestor in the sources.
 SourceLocation LocationOf(const Loader& loader, std::string path) {
   while (true) {
     if (const auto place = loader.locations.find(path);
--- a/src/config/merge.cc
+++ b/src/config/merge.cc
@@ -10,7 +10,7 @@
 
 using Leaf = std::map<std::string, std::string>::const_iterator;
 
-// Leaves whose path starts with `prefix`, the prefix taken off.
+// Leaves whose path starts with `prefix`, with the prefix removed.
 std::vector<MergedLeaf> LeavesUnder(const Document& document,
                                     std::string_view prefix) {
   std::vector<MergedLeaf> found;
@@ -23,7 +23,7 @@
   return found;
 }
 
-// Whether the path or one of the entries that hold it is deleted.
+// Whether the path or one of its ancestors is deleted.
 bool IsDeleted(const std::set<std::string_view>& deleted,
                std::string_view path) {
   for (std::size_t end = path.size(); end != std::string_view::npos;
@@ -36,7 +36,7 @@
   return false;
 }
 
-// Whether the base has the leaf or an entry of this path.
+// Whether the base has a leaf or an entry at this path.
 bool BaseContains(const Document& document, std::string_view path) {
   const std::string base_path = Concat(kBasePrefix, path);
   if (document.leaves.contains(base_path))
--- a/src/config/merge.h
+++ b/src/config/merge.h
@@ -1,4 +1,5 @@
-// The merged view of base and overlay, and problems found by path.
+// Merges the base file with an overlay, and defines the problem type that
+// validation reports by path.
 #ifndef TEASELSPREAD_CONFIG_MERGE_H_
 #define TEASELSPREAD_CONFIG_MERGE_H_
 
@@ -12,13 +13,14 @@
 
 namespace teaselspread {
 
-// What is wrong with the leaf or entry at `path`, which is a whole path of a
-// document, so that the source line can be found.
+// A validation error of the leaf or entry at `path`. Unless stated otherwise,
+// the path is a full document path, so that the source line can be found.
 struct Problem {
   std::string path;
   std::string text;
 };
 
+// The value, or the problem that validation found.
 template <class T>
 using Checked = tl::expected<T, Problem>;
 
@@ -38,7 +40,7 @@
   // Without "base/" or "overlay/<data centre>/".
   std::string_view path;
   std::string_view value;
-  // The whole path, for problems.
+  // The full document path, for problems.
   std::string_view origin;
 };
 
@@ -46,8 +48,8 @@
 // the result. Thread safe.
 [[nodiscard]] std::vector<MergedLeaf> BaseLeaves(const Document& document);
 
-// Leaves in force at `data_center`, sorted by path. A deletion of something
-// that the base lacks is a problem, since it is most likely a slip of the pen.
+// Effective leaves of `data_center`, sorted by path. Deleting a path that the
+// base lacks is a problem, since it is most likely a typing error.
 // Preconditions: `base` is BaseLeaves(document), and the document outlives the
 // result. Thread safe.
 [[nodiscard]] Checked<std::vector<MergedLeaf>> Merge(
--- a/src/config/move_identity.cc
+++ b/src/config/move_identity.cc
@@ -12,7 +12,7 @@
 constexpr std::string_view kWithdrawn = "withdrawn";
 constexpr std::string_view kTrue = "true";
 
-// A leaf of a move that is part of its identity.
+// A leaf of a move; the views point into the document.
 struct MoveLeaf {
   std::string_view id;
   std::string_view field;
@@ -27,7 +27,7 @@
   return field == "service" || field == "from" || field == "to";
 }
 
-// The leaf's parts if it is "<scope>moves/<id>/<field>".
+// Splits a path of the form "<scope>moves/<id>/<field>".
 std::optional<MoveLeaf> ParseMoveLeaf(std::string_view scope,
                                       const std::string& path,
                                       std::string_view value) {
@@ -68,7 +68,7 @@
   return identities;
 }
 
-// Whether `after` still says that the move is withdrawn, or names it no more.
+// Whether the move is still withdrawn in `after` or no longer exists there.
 bool StaysWithdrawn(const Identities& identities,
                     const Document& after,
                     const MoveLeaf& leaf) {
--- a/src/config/move_identity.h
+++ b/src/config/move_identity.h
@@ -1,4 +1,5 @@
-// What makes a move the same move: in every data centre and in every version.
+// Checks that a move keeps its identity across data centres and versions of the
+// configuration.
 #ifndef TEASELSPREAD_CONFIG_MOVE_IDENTITY_H_
 #define TEASELSPREAD_CONFIG_MOVE_IDENTITY_H_
 
@@ -7,18 +8,18 @@
 
 namespace teaselspread {
 
-// Fails if one move id stands for different services or versions in different
-// data centres: its verdict is one for all. Thread safe.
+// Fails if a move id has different services or versions in different data
+// centres, since its verdict applies to all of them. Thread safe.
 [[nodiscard]] Checked<void> CheckMovesConsistent(const Document& document);
 
-// Fails if `after` gives a move of `before` another service, from or to, or
-// takes back that it is withdrawn. Verdicts belong to the id and are final: the
-// changed move would count as done, with full share and without any evidence,
-// or as taken back. Preconditions: both passed CheckMovesAgree. Thread safe.
+// Fails if `after` changes service, from or to of a move in `before`, or clears
+// its withdrawn flag. Verdicts are final and keyed by move id: the changed move
+// would count as done, with full share and without any evidence, or as rolled
+// back. Precondition: both passed CheckMovesConsistent. Thread safe.
 [[nodiscard]] Checked<void> CheckMovesUnchanged(const Document& before,
                                                 const Document& after);
 
-// The part of `document` that CheckMovesKept looks at. Thread safe.
+// The part of `document` that CheckMovesUnchanged reads. Thread safe.
 [[nodiscard]] Document MovesOf(const Document& document);
 
 }  // namespace teaselspread
--- a/src/config/references.cc
+++ b/src/config/references.cc
@@ -25,9 +25,9 @@
   return {};
 }
 
-// Two routes of one method and prefix would leave it to chance which deadline
-// and which at-most-once rule a request gets. Routes are sorted by prefix and
-// method, so that two of a kind are neighbours.
+// With two routes of the same method and prefix, it would be undefined which
+// deadline and at-most-once rule apply to a request. Routes are sorted by
+// prefix and method, so that duplicates are adjacent.
 Checked<void> CheckRoutes(const Snapshot& snapshot) {
   const RouteConfig* previous = nullptr;
   for (const RouteConfig& route : snapshot.routes) {
@@ -54,16 +54,16 @@
     return Invalid(path + "/to", "expected another version than from");
   if (move.by <= move.start)
     return Invalid(path + "/by", "expected a time after start");
-  // The move is done once its watch has passed at full share: with less time
-  // than that it could only be late, or rush to full share unproved.
+  // The move is done after its watch period at full share. With less time it
+  // would finish late, or go to full share without evidence.
   if (move.by - move.start <= move.watch)
     return Invalid(path + "/by", "expected more time after start than watch");
   return {};
 }
 
-// The versions that a service may have when a move begins: its own, and those
-// that other moves lead to. A finished move may stay in the file after the
-// operator has set the service to its new version.
+// A move may start from the version of its service or from one that an earlier
+// move leads to. A finished move may stay in the file after the operator has
+// set the service to its new version.
 Checked<void> CheckVersions(const ServiceConfig& service,
                             const std::vector<const MoveConfig*>& moves) {
   std::set<std::string_view> known = {service.version};
@@ -81,7 +81,7 @@
   return {};
 }
 
-// Two moves of one service at a time would pull its traffic in two directions.
+// Concurrent moves of one service would set conflicting traffic shares.
 Checked<void> CheckOverlap(const std::vector<const MoveConfig*>& moves) {
   for (std::size_t i = 1; i < moves.size(); ++i) {
     const MoveConfig& earlier = *moves[i - 1];
--- a/src/config/render.cc
+++ b/src/config/render.cc
@@ -15,12 +15,13 @@
 
 constexpr std::string_view kDeploymentLeaf = "base/deployment";
 
-// '0' follows '/': the first path that can come after all of "base/...".
+// '0' follows '/' in ASCII, so these sort directly after all paths under
+// "base/" and "overlay/".
 constexpr std::string_view kAfterBase = "base0";
 constexpr std::string_view kAfterOverlays = "overlay0";
 
-// The leaves are sorted, so that looking at the edges of the two roots shows
-// whether there is anything beside them.
+// The leaves are sorted, so it suffices to check the leaves next to the ranges
+// of the two roots.
 Checked<void> CheckRoots(const Document& document) {
   const auto& leaves = document.leaves;
   const auto invalid = [](const std::string& path) {
@@ -49,7 +50,7 @@
       return Invalid(leaf->first, Concat("no data centre is called ", name,
                                          " in data_centers of the base file"));
     }
-    // The first leaf after this overlay.
+    // Skips to the first leaf after this overlay.
     leaf = document.leaves.lower_bound(Concat(kOverlayPrefix, name, "0"));
   }
   return {};
@@ -68,7 +69,8 @@
   return {};
 }
 
-// What concerns the document as a whole: names of deployment and data centres.
+// Checks the document as a whole: its roots and the names of the deployment,
+// the data centres and the overlays. Returns the data centres.
 Checked<std::vector<std::string>> CheckDocument(const Document& document) {
   if (auto roots = CheckRoots(document); !roots)
     return tl::make_unexpected(roots.error());
@@ -85,8 +87,8 @@
   return names;
 }
 
-// References are checked on the merged view; the leaf at fault may come from
-// either file.
+// Converts the merged path of a problem to a full document path. References are
+// checked on the merged view, so the leaf may come from either file.
 Problem ResolvePath(const Document& document,
                     std::string_view data_center,
                     Problem problem) {
@@ -97,7 +99,7 @@
   return problem;
 }
 
-// A document that is checked as a whole, and what its data centres share.
+// A document that passed CheckDocument, and data shared by its data centres.
 struct CheckedDocument {
   const Document& document;
   std::vector<std::string> data_centers;
--- a/src/config/render.h
+++ b/src/config/render.h
@@ -1,4 +1,5 @@
-// Rendering that names the leaf at fault, for messages with a source line.
+// Rendering and validation that report the path of the invalid leaf, so that
+// messages can include its source line.
 #ifndef TEASELSPREAD_CONFIG_RENDER_H_
 #define TEASELSPREAD_CONFIG_RENDER_H_
 
@@ -9,7 +10,7 @@
 
 namespace teaselspread {
 
-// As Render and ValidateAll of config.h. Thread safe.
+// Like Render and ValidateAll in config.h. Thread safe.
 [[nodiscard]] Checked<SnapshotPtr> RenderChecked(const Document& document,
                                                  std::string_view data_center,
                                                  ConfigVersion version);
--- a/src/config/scalar.cc
+++ b/src/config/scalar.cc
@@ -13,8 +13,8 @@
 
 using Parsed = tl::expected<Scalar, std::string>;
 
-// Messages between nodes carry names of this size at most; a longer one would
-// be cut there and its verdicts and counts would belong to nobody.
+// Maximum size of names in messages between nodes. A longer name would be
+// truncated there, and its verdicts and counts would match no entry.
 constexpr std::size_t kMaxNameSize = 32;
 constexpr std::size_t kMaxPathSize = 256;
 constexpr std::array<std::string_view, 7> kMethods = {
@@ -25,7 +25,7 @@
   std::int64_t factor;
 };
 
-// Largest first: canonical text takes the largest unit that divides the value.
+// Largest first: canonical text uses the largest unit that divides the value.
 constexpr std::array<Unit, 5> kDurationUnits = {{{"h", 3'600'000'000},
                                                  {"m", 60'000'000},
                                                  {"s", 1'000'000},
@@ -49,7 +49,8 @@
          c != '#';
 }
 
-// "15MiB" with the table of units; nothing when it has no such form.
+// Parses a text such as "15MiB" by a table of units. Returns nothing if the
+// text has another form or the value overflows.
 template <std::size_t kSize>
 std::optional<std::int64_t> ParseWithUnit(
     std::string_view text,
@@ -117,7 +118,7 @@
                          "s to ", rule.high, "s"));
 }
 
-// "2026-12-03T06:00:00Z", with every character but the digits in its place.
+// Parses exactly the form "2026-12-03T06:00:00Z".
 std::optional<TimePoint> ParseTimeText(std::string_view text) {
   constexpr std::string_view kFormat = "0000-00-00T00:00:00Z";
   if (text.size() != kFormat.size())
--- a/src/config/scalar.h
+++ b/src/config/scalar.h
@@ -1,4 +1,4 @@
-// Scalars of the configuration: text to value, value to canonical text.
+// Parses scalars of the configuration and formats them as canonical text.
 #ifndef TEASELSPREAD_CONFIG_SCALAR_H_
 #define TEASELSPREAD_CONFIG_SCALAR_H_
 
@@ -35,7 +35,8 @@
                             TimePoint,
                             Priority>;
 
-// What one field may hold. Bounds count in units, bytes or seconds.
+// Type and range of one field. Bounds are inclusive, in bytes for sizes and in
+// seconds for durations.
 struct FieldRule {
   std::string_view name;
   ScalarType type = ScalarType::kName;
@@ -44,20 +45,21 @@
   double high = 0;
 };
 
-// The value, or what was expected instead, for a person. Thread safe.
+// Returns the value, or a message for operators that states what was expected.
+// Thread safe.
 [[nodiscard]] tl::expected<Scalar, std::string> ParseScalar(
     const FieldRule& rule,
     std::string_view text);
 
-// The one text that stands for `value`: equal values have equal digests.
+// The canonical text of `value`, so that equal values have equal digests.
 // Thread safe.
 [[nodiscard]] std::string CanonicalText(const Scalar& value);
 
-// Whether `text` may name a service, version, route, move or data centre.
-// Thread safe.
+// Whether `text` is a valid name of a service, version, route, move, deployment
+// or data centre. Thread safe.
 [[nodiscard]] bool IsName(std::string_view text);
 
-// What IsName wants, for messages.
+// The rule of IsName, for messages.
 inline constexpr std::string_view kNameExpectation =
     "expected a name of 1 to 32 letters, digits, '.', '_' or '-' that starts "
     "with a letter or digit";
--- a/src/config/schema.cc
+++ b/src/config/schema.cc
@@ -17,11 +17,12 @@
 constexpr bool kRequired = true;
 constexpr bool kOptional = false;
 constexpr double kMaxBytes = 1e12;
+// Durations in seconds.
 constexpr double kMinDuration = 0.001;
 constexpr double kHour = 3600;
 constexpr double kDay = 86400;
 
-// The Scalar alternative that carries a member of type T.
+// The Scalar alternative that holds the value of a member of type T.
 template <class T>
 constexpr auto ScalarAlternativeOf() {
   if constexpr (std::is_same_v<T, bool> || !std::is_integral_v<T>) {
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -1,4 +1,4 @@
-// The fields of each section of the configuration, with their rules.
+// Schema of the configuration: the fields of each section and their rules.
 #ifndef TEASELSPREAD_CONFIG_SCHEMA_H_
 #define TEASELSPREAD_CONFIG_SCHEMA_H_
 
@@ -13,7 +13,7 @@
 
 namespace teaselspread {
 
-// Sections of a source file, by their names there.
+// Sections of a source file.
 enum class Section : std::uint8_t {
   kDeployment,
   kDataCenters,
@@ -24,13 +24,13 @@
   kCount,
 };
 
-// "services" and the like. Thread safe.
+// The name in the source file, such as "services". Thread safe.
 [[nodiscard]] std::string_view NameOf(Section section);
 
-// The section called `name`, or kCount. Thread safe.
+// The section called `name`, or kCount if there is none. Thread safe.
 [[nodiscard]] Section SectionOf(std::string_view name);
 
-// What SectionOf wants, for messages.
+// The names that SectionOf accepts, for messages.
 inline constexpr std::string_view kSectionExpectation =
     "unknown section, expected one of: deployment, data_centers, services, "
     "routes, moves, limits";
@@ -41,7 +41,7 @@
          section == Section::kMoves;
 }
 
-// One field of `T`: its rule, and how to set and read it.
+// One field of `T`: its rule, setter and getter.
 template <class T>
 struct Field {
   FieldRule rule;
@@ -49,7 +49,7 @@
   Scalar (*read)(const T& source);
 };
 
-// All fields of a section in the order in which they are shown. Thread safe.
+// All fields of a section, in display order. Thread safe.
 [[nodiscard]] std::span<const Field<ServiceConfig>> ServiceFields();
 [[nodiscard]] std::span<const Field<RouteConfig>> RouteFields();
 [[nodiscard]] std::span<const Field<MoveConfig>> MoveFields();
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -56,8 +56,8 @@
           TimingsKey(settings.timings)};
 }
 
-// Anyone who can reach the announcements can move traffic to an address of
-// their choice, so they stay inside the VM.
+// Anyone who can send announcements can direct traffic to an address of their
+// choice, so the announcement listener must only be reachable within the VM.
 bool IsLoopback(const Address& address) {
   return address.host.starts_with("127.") || address.host == "::1";
 }
@@ -66,12 +66,12 @@
   return address.host == "0.0.0.0" || address.host == "::";
 }
 
-// Whether two sockets at these addresses would be one and the same.
+// Whether sockets bound to both addresses would conflict.
 bool Conflict(const Address& a, const Address& b) {
   return a.port == b.port && (a.host == b.host || IsAnyHost(a) || IsAnyHost(b));
 }
 
-// What no single field shows to be wrong.
+// Checks constraints between fields.
 Result<void> CheckConsistency(const std::string& file,
                               const YAML::Node& root,
                               const NodeSettings& settings) {
@@ -89,8 +89,8 @@
     return invalid("control", "control",
                    "expected another port than http and announce");
   }
-  // A node that is its own upstream would pass each request to itself until
-  // nothing is left to hold it.
+  // A node that is its own upstream would forward each request to itself until
+  // its resources are exhausted.
   for (const Address& own :
        {settings.http, settings.control, settings.announce}) {
     if (Conflict(settings.upstream, own)) {
--- a/src/config/settings_reader.cc
+++ b/src/config/settings_reader.cc
@@ -44,7 +44,7 @@
   return item.node.Scalar();
 }
 
-// Reads one value with `parse`, which gives nothing for a bad one.
+// Reads one value with `parse`, which returns an empty result if it is invalid.
 template <class T, class Parse>
 ReadResult ReadValue(const Item& item,
                      std::string_view expected,
@@ -158,7 +158,7 @@
     const Item value{item.file,
                      item.path.empty() ? name : Concat(item.path, "/", name),
                      pair.second, LineOf(pair.first)};
-    // yaml-cpp would take one of the two without a word.
+    // yaml-cpp accepts duplicate keys and silently keeps only one.
     if (!seen.insert(name).second)
       return InvalidSetting(value, "stands twice");
     if (auto result = ReadKey(keys, value, name); !result)
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -1,4 +1,4 @@
-// Reading a settings file by tables of keys, each error with its place.
+// Reads a settings file by tables of keys; errors include file and line.
 #ifndef TEASELSPREAD_CONFIG_SETTINGS_READER_H_
 #define TEASELSPREAD_CONFIG_SETTINGS_READER_H_
 
@@ -14,16 +14,17 @@
 
 namespace teaselspread {
 
-// A node of the file, with its place in words: "timings/probe_interval".
+// A node of the file, with its path such as "timings/probe_interval".
 struct SettingsItem {
   const std::string& file;
   std::string path;
   YAML::Node node;
-  // Of its key: yaml-cpp gives an empty value the place of what follows it.
+  // Line of the key: for an empty value, yaml-cpp reports the position of the
+  // token after it.
   int line = 1;
 };
 
-// One key that a map may have, and what to do with its value.
+// One key that a map may have, and the function that reads its value.
 struct SettingsKey {
   std::string_view name;
   bool required;
@@ -37,17 +38,17 @@
 [[nodiscard]] tl::unexpected<Error> InvalidSetting(const SettingsItem& item,
                                                    std::string_view text);
 
-// Reads a map: refuses keys that are unknown, stand twice or are missing.
-// Not thread safe while the keys write to shared members.
+// Reads a map and rejects unknown, duplicate and missing keys.
+// Not thread safe if the keys write to shared members.
 [[nodiscard]] Result<void> ReadMap(const SettingsItem& item,
                                    const std::vector<SettingsKey>& keys);
 
-// The whole file. Errors: kSettings when it cannot be read. Blocks on the file.
-// Thread safe.
+// Returns the content of the file. Fails with kSettings if it cannot be read or
+// is empty. Blocks on file I/O. Thread safe.
 [[nodiscard]] Result<std::string> ReadSettingsFile(const std::string& path);
 
-// Keys that set the member given. Precondition of all: the member outlives the
-// key.
+// Keys that write their value to `target`. Precondition: the target outlives
+// the key.
 [[nodiscard]] SettingsKey NameKey(std::string_view name, std::string& target);
 [[nodiscard]] SettingsKey AddressKey(std::string_view name,
                                      bool required,
@@ -62,7 +63,7 @@
                                       double low,
                                       double high,
                                       Duration& target);
-// Any number within the bounds.
+// Any number within the inclusive bounds.
 [[nodiscard]] SettingsKey NumberKey(std::string_view name,
                                     double low,
                                     double high,
--- a/src/config/yaml.h
+++ b/src/config/yaml.h
@@ -1,4 +1,4 @@
-// YAML nodes in words, for messages about source files and settings.
+// Parses YAML and describes nodes in messages about source files and settings.
 #ifndef TEASELSPREAD_CONFIG_YAML_H_
 #define TEASELSPREAD_CONFIG_YAML_H_
 
@@ -14,11 +14,11 @@
 // "a map", "a list", "one value" or "nothing". Thread safe.
 [[nodiscard]] std::string_view DescribeKind(const YAML::Node& node);
 
-// What stands in the file, in quotes, cut short and without line breaks, so
+// `text` in quotes, truncated and with non-printable characters replaced, so
 // that a message stays one line. Thread safe.
 [[nodiscard]] std::string Quoted(std::string_view text);
 
-// The line of a node, from 1. Thread safe.
+// The 1-based line of a node. Thread safe.
 [[nodiscard]] int LineOf(const YAML::Node& node);
 
 // The first YAML document of `text`, or an error "file:line: what" of `kind`.
--- a/tests/unit/config_source_test.cc
+++ b/tests/unit/config_source_test.cc
@@ -38,7 +38,7 @@
 
 struct InvalidSource {
   const char* name;
-  // The good base with this text in the place of that.
+  // Text in kBase and its replacement.
   const char* replaced;
   const char* replacement;
   const char* overlay;
@@ -145,9 +145,9 @@
   return text.replace(at, replaced.size(), replacement);
 }
 
-// An operator publishes a file with a slip of the pen. Taken as it stands, a
-// route would point at a service that no proxy has, and clerks would be told
-// that their case does not exist.
+// Guards against accepting a source file with a typing error: a route could
+// reference a service that no proxy has, and callers would get "not found" for
+// cases that exist.
 Test(config_source, each_bad_file_gives_one_line_with_its_place) {
   for (const InvalidSource& invalid : kInvalidSources) {
     const auto document =
@@ -176,7 +176,7 @@
   cr_assert((*bole)->limits.silence == std::chrono::seconds(2));
   cr_assert((*bole)->version == 7 && (*bole)->data_center == "bole");
   cr_assert((*piassa)->routes.size() == 2 && (*piassa)->moves.size() == 1);
-  // The longest prefix comes first.
+  // The route with the longest prefix comes first.
   cr_assert((*piassa)->routes.front().name == "bundle");
   cr_assert(!Render(*document, "mars", 7).has_value());
 }
@@ -190,8 +190,8 @@
   cr_assert(DigestOf(*Load(kBase, "")) != DigestOf(*Load(changed, "")));
 }
 
-// A record in the log carries leaves that no file ever had: a reader must not
-// stumble over a path that ends early or names no field.
+// A log record may contain leaves that no source file can produce. Validation
+// must handle a path that is truncated or names no field, and reject it.
 Test(config_source, paths_that_no_file_gives_are_refused) {
   const Document valid_document = *Load(kBase, kOverlay);
   const std::vector<const char*> parts = {
--- a/tests/unit/settings_test.cc
+++ b/tests/unit/settings_test.cc
@@ -23,7 +23,7 @@
 
 struct InvalidSettings {
   const char* name;
-  // The good file with this text in the place of that.
+  // Text in kValidSettings and its replacement.
   const char* replaced;
   const char* replacement;
   const char* message;
@@ -94,8 +94,8 @@
   cr_assert(settings.has_value(), "%s", settings.error().message.c_str());
 }
 
-// An operator mistypes a field. A node that started anyway, with a default in
-// its place, would look well and stand at the wrong address or data centre.
+// Guards against ignoring a mistyped field: a node that started with a default
+// instead would look healthy but use the wrong address or data centre.
 Test(settings, each_bad_field_gives_one_line_with_its_place) {
   for (const InvalidSettings& invalid : kInvalidSettings) {
     const auto settings = ParseNodeSettings(
