--- a/src/config/judge.cc
+++ b/src/config/judge.cc
@@ -134,7 +134,7 @@
 // The effect of a change on `document`, without edits that change nothing.
 Delta DeltaOf(const Document& document, const ChangeRecord& change) {
   if (const auto* delta = std::get_if<Delta>(&change.content))
-    return Needed(document, *delta);
+    return EffectiveDelta(document, *delta);
   return MakeDelta(document, std::get<Document>(change.content));
 }
 
@@ -155,7 +155,7 @@
 // Whether every move keeps its service and versions, and stays withdrawn if it
 // was.
 Finding CheckMoves(const Document& moves_before, const Document& after) {
-  if (const auto checked = CheckMovesKept(moves_before, after); !checked) {
+  if (const auto checked = CheckMovesUnchanged(moves_before, after); !checked) {
     return {FoldReason::kInvalid,
             Concat(checked.error().path, ": ", checked.error().text)};
   }
@@ -179,7 +179,7 @@
   }
   // Applied in place, as copying the document would cost as much as the checks.
   Delta delta = DeltaOf(state.document, change);
-  const Delta undo_delta = Undoing(state.document, delta);
+  const Delta undo_delta = InverseDelta(state.document, delta);
   const Document moves_before = MovesOf(state.document);
   ApplyInPlace(state.document, delta);
   Finding finding = CheckNewDocument(state.document, change.digest);
--- a/src/config/merge.cc
+++ b/src/config/merge.cc
@@ -10,9 +10,9 @@
 
 using Leaf = std::map<std::string, std::string>::const_iterator;
 
-// Leaves whose path starts with `prefix`, the prefix taken off.
-std::vector<MergedLeaf> Under(const Document& document,
-                              std::string_view prefix) {
+// Leaves whose path starts with `prefix`, with the prefix removed.
+std::vector<MergedLeaf> LeavesUnder(const Document& document,
+                                    std::string_view prefix) {
   std::vector<MergedLeaf> found;
   const auto end = document.leaves.end();
   for (auto leaf = document.leaves.lower_bound(std::string(prefix));
@@ -23,7 +23,7 @@
   return found;
 }
 
-// Whether the path or one of the entries that hold it is deleted.
+// Whether the path or one of its ancestors is deleted.
 bool IsDeleted(const std::set<std::string_view>& deleted,
                std::string_view path) {
   for (std::size_t end = path.size(); end != std::string_view::npos;
@@ -36,12 +36,12 @@
   return false;
 }
 
-// Whether the base has the leaf or an entry of this path.
-bool BaseHas(const Document& document, std::string_view path) {
-  const std::string whole = Concat(kBasePrefix, path);
-  if (document.leaves.contains(whole))
+// Whether the base has a leaf or an entry at this path.
+bool BaseContains(const Document& document, std::string_view path) {
+  const std::string base_path = Concat(kBasePrefix, path);
+  if (document.leaves.contains(base_path))
     return true;
-  const std::string entry = whole + "/";
+  const std::string entry = base_path + "/";
   const auto leaf = document.leaves.lower_bound(entry);
   return leaf != document.leaves.end() && leaf->first.starts_with(entry);
 }
@@ -77,20 +77,20 @@
 }
 
 std::vector<MergedLeaf> BaseLeaves(const Document& document) {
-  return Under(document, kBasePrefix);
+  return LeavesUnder(document, kBasePrefix);
 }
 
 Checked<std::vector<MergedLeaf>> Merge(const Document& document,
                                        const std::vector<MergedLeaf>& base,
                                        std::string_view data_center) {
   const std::vector<MergedLeaf> overlay =
-      Under(document, OverlayPrefixOf(data_center));
+      LeavesUnder(document, OverlayPrefixOf(data_center));
   std::set<std::string_view> deleted;
   for (const MergedLeaf& leaf : overlay) {
     if (leaf.value != kDeletedLeaf)
       continue;
-    if (!BaseHas(document, leaf.path))
-      return Wrong(std::string(leaf.origin), "deletes what the base lacks");
+    if (!BaseContains(document, leaf.path))
+      return Invalid(std::string(leaf.origin), "deletes what the base lacks");
     deleted.insert(leaf.path);
   }
   return MergeSorted(base, overlay, deleted);
--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -444,7 +444,7 @@
 }
 
 bool Entry::MayRetry(PendingRequest& pending, ErrorKind kind, bool not_run) {
-  if (pending.attempts >= pending.route->most_attempts)
+  if (pending.attempts >= pending.route->max_attempts)
     return false;
   if (std::find(pending.tried.begin(), pending.tried.end(), pending.node) ==
       pending.tried.end())
