--- a/include/teaselspread/commands.h
+++ b/include/teaselspread/commands.h
@@ -28,7 +28,7 @@
   bool new_beginning = false;
   // The version that the operator's files were made for; 0 takes whatever is
   // accepted now.
-  ConfigVersion onto = 0;
+  ConfigVersion expected_head = 0;
   OutputFormat output = OutputFormat::kText;
   Duration timeout = std::chrono::seconds(30);
   // For `watch`: the version to wait for, or 0 to wait for the moves' end.
@@ -38,13 +38,13 @@
   std::string path;
 };
 
-struct CommandRow {
+struct CommandInfo {
   std::string_view name;
-  std::string_view meaning;
+  std::string_view description;
 };
 
 // All commands, for the help text. Thread safe.
-[[nodiscard]] const std::vector<CommandRow>& Commands();
+[[nodiscard]] const std::vector<CommandInfo>& Commands();
 
 // Runs one command: its result goes to `out`, progress and errors to `err`.
 // Blocks up to the timeout. Thread safe on different streams.
--- a/include/teaselspread/operator.h
+++ b/include/teaselspread/operator.h
@@ -36,14 +36,14 @@
 };
 
 // One row of the table of exit codes.
-struct ExitCodeRow {
+struct ExitCodeInfo {
   ExitCode code;
   std::string_view name;
-  std::string_view meaning;
+  std::string_view description;
 };
 
 // All exit codes, for the help text and the docs. Thread safe.
-[[nodiscard]] const std::vector<ExitCodeRow>& ExitCodes();
+[[nodiscard]] const std::vector<ExitCodeInfo>& ExitCodes();
 
 // The code for an error of `kind`. Thread safe.
 [[nodiscard]] ExitCode ExitCodeOf(ErrorKind kind);
@@ -102,8 +102,8 @@
 // have published since, without a conflict. Fails with kConfigConflict and
 // names the winner. Precondition: the state is folded to the log's end.
 // Thread safe.
-[[nodiscard]] Result<void> CheckOnto(const FoldState& state,
-                                     ConfigVersion onto);
+[[nodiscard]] Result<void> CheckExpectedHead(const FoldState& state,
+                                             ConfigVersion expected_head);
 
 // The last publishes with their verdicts, oldest first. Thread safe.
 [[nodiscard]] Table OutcomeTable(const FoldState& state);
--- a/src/commands/commands.cc
+++ b/src/commands/commands.cc
@@ -8,7 +8,7 @@
 using Handler = ExitCode (*)(const CommandOptions&, const CommandStreams&);
 
 struct Command {
-  CommandRow row;
+  CommandInfo row;
   Handler handler;
 };
 
@@ -16,7 +16,7 @@
   static const std::vector<Command> table = {
       {{"validate", "check the files of every data centre"}, Validate},
       {{"render", "print the merged configuration of one data centre"},
-       RenderOne},
+       RenderDataCenter},
       {{"diff", "compare the files with what is accepted in the log"}, Diff},
       {{"publish", "append the files and wait for the verdict"}, Publish},
       {{"history", "the last publishes and what became of each"}, History},
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-const std::vector<CommandRow>& Commands() {
-  static const std::vector<CommandRow> rows = [] {
-    std::vector<CommandRow> all;
+const std::vector<CommandInfo>& Commands() {
+  static const std::vector<CommandInfo> rows = [] {
+    std::vector<CommandInfo> all;
     for (const Command& command : AllCommands())
       all.push_back(command.row);
     return all;
--- a/src/commands/commands.h
+++ b/src/commands/commands.h
@@ -26,8 +26,8 @@
 
 // Each command; all block up to the timeout.
 ExitCode Validate(const CommandOptions& options, const CommandStreams& streams);
-ExitCode RenderOne(const CommandOptions& options,
-                   const CommandStreams& streams);
+ExitCode RenderDataCenter(const CommandOptions& options,
+                          const CommandStreams& streams);
 ExitCode Diff(const CommandOptions& options, const CommandStreams& streams);
 ExitCode Publish(const CommandOptions& options, const CommandStreams& streams);
 ExitCode History(const CommandOptions& options, const CommandStreams& streams);
--- a/src/commands/files.cc
+++ b/src/commands/files.cc
@@ -14,10 +14,10 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::string_view kBaseFile = "base.yaml";
+constexpr std::string_view kBaseFileName = "base.yaml";
 constexpr std::string_view kExtension = ".yaml";
 
-Result<std::string> ReadText(const fs::path& path) {
+Result<std::string> ReadFile(const fs::path& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in)
     return Fail(ErrorKind::kUsage, Concat(path.string(), ": cannot be read"));
@@ -37,17 +37,17 @@
   if (folder.empty())
     return Fail(ErrorKind::kUsage, "--config=FOLDER is needed");
   ConfigSources sources;
-  const fs::path base = fs::path(folder) / kBaseFile;
-  auto text = ReadText(base);
+  const fs::path base = fs::path(folder) / kBaseFileName;
+  auto text = ReadFile(base);
   if (!text)
     return tl::make_unexpected(text.error());
   sources.base = {base.string(), std::move(*text)};
   std::error_code error;
   for (const auto& entry : fs::directory_iterator(folder, error)) {
     const fs::path& path = entry.path();
-    if (path.extension() != kExtension || path.filename() == kBaseFile)
+    if (path.extension() != kExtension || path.filename() == kBaseFileName)
       continue;
-    auto overlay = ReadText(path);
+    auto overlay = ReadFile(path);
     if (!overlay)
       return tl::make_unexpected(overlay.error());
     sources.overlays[path.stem().string()] = {path.string(),
@@ -75,8 +75,8 @@
   return ExitCode::kOk;
 }
 
-ExitCode RenderOne(const CommandOptions& options,
-                   const CommandStreams& streams) {
+ExitCode RenderDataCenter(const CommandOptions& options,
+                          const CommandStreams& streams) {
   const auto document = ReadSources(options.config);
   if (!document)
     return Report(document.error(), streams);
--- a/src/commands/nodes.cc
+++ b/src/commands/nodes.cc
@@ -19,8 +19,8 @@
 
 constexpr std::size_t kConnections = 4;
 constexpr Duration kCallTimeout = std::chrono::seconds(3);
-constexpr std::chrono::milliseconds kWatchPause{200};
-constexpr std::chrono::seconds kProgressEvery{2};
+constexpr std::chrono::milliseconds kPollInterval{200};
+constexpr std::chrono::seconds kProgressInterval{2};
 constexpr int kOkStatus = 200;
 
 Result<std::string> Fetch(const std::string& node, const std::string& target) {
@@ -32,14 +32,15 @@
   request.target = target;
   CallOptions call;
   call.timeout = kCallTimeout;
-  auto answer = pool.Send(*address, request, call);
-  if (!answer)
+  auto response = pool.Send(*address, request, call);
+  if (!response)
     return Fail(ErrorKind::kPeerUnreachable,
-                Concat(node, ": ", answer.error().message));
-  if (answer->status != kOkStatus)
-    return Fail(ErrorKind::kPeerUnreachable,
-                Concat(node, ": status ", answer->status, " ", answer->body));
-  return std::move(answer->body);
+                Concat(node, ": ", response.error().message));
+  if (response->status != kOkStatus)
+    return Fail(
+        ErrorKind::kPeerUnreachable,
+        Concat(node, ": status ", response->status, " ", response->body));
+  return std::move(response->body);
 }
 
 // What one node says of its data centre.
@@ -47,7 +48,7 @@
   std::string data_center;
   ConfigVersion version = 0;
   // The highest version that the node has heard of.
-  ConfigVersion newest = 0;
+  ConfigVersion highest_version = 0;
   Table members;
 };
 
@@ -60,7 +61,7 @@
     const YAML::Node page = YAML::Load(body);
     status.data_center = page["data_center"].as<std::string>();
     status.version = page["version"].as<ConfigVersion>();
-    status.newest =
+    status.highest_version =
         std::max(status.version, page["highest_heard"].as<ConfigVersion>());
     for (const YAML::Node& member : page["members"]) {
       std::vector<std::string> row;
@@ -81,11 +82,11 @@
   return {};
 }
 
-ExitCode Relay(const CommandOptions& options,
-               const std::string& target,
-               const CommandStreams& streams) {
-  if (const auto given = CheckNodes(options); !given)
-    return Report(given.error(), streams);
+ExitCode PrintResponse(const CommandOptions& options,
+                       const std::string& target,
+                       const CommandStreams& streams) {
+  if (const auto checked = CheckNodes(options); !checked)
+    return Report(checked.error(), streams);
   const auto body = Fetch(options.nodes.front(), target);
   if (!body)
     return Report(body.error(), streams);
@@ -94,8 +95,8 @@
 }
 
 struct Progress {
-  std::size_t there = 0;
-  std::size_t all = 0;
+  std::size_t reached = 0;
+  std::size_t total = 0;
   std::string missing;
 };
 
@@ -109,7 +110,7 @@
 
 // Adds a column that says which rows do not hold the newest version known: what
 // an operator looks for in a list of hundreds.
-void MarkBehind(Table& table, ConfigVersion newest) {
+void AddConfigColumn(Table& table, ConfigVersion newest) {
   for (const auto& row : table.rows)
     newest = std::max(newest, VersionIn(row));
   table.columns.emplace_back("config");
@@ -129,16 +130,16 @@
         body ? ParseStatus(*body)
              : Result<DataCenterStatus>(tl::make_unexpected(body.error()));
     if (!status) {
-      ++progress.all;
+      ++progress.total;
       progress.missing = node;
       continue;
     }
     for (const auto& row : status->members.rows) {
       if (row.at(kStatusColumn) != "alive")
         continue;
-      ++progress.all;
+      ++progress.total;
       if (VersionIn(row) >= options.version)
-        ++progress.there;
+        ++progress.reached;
       else
         progress.missing = row.front();
     }
@@ -154,10 +155,10 @@
     return {0, 1, options.nodes.front()};
   try {
     for (const YAML::Node& move : YAML::Load(*body)) {
-      ++progress.all;
+      ++progress.total;
       const auto state = move["state"].as<std::string>();
       if (state == "done" || state == "taken-back")
-        ++progress.there;
+        ++progress.reached;
       else
         progress.missing = move["move"].as<std::string>();
     }
@@ -170,17 +171,17 @@
 // The result of a watch that came to its end.
 std::string ProgressText(const Progress& progress, OutputFormat format) {
   if (format == OutputFormat::kJson)
-    return Concat("{\"reached\": ", progress.there, ", \"of\": ", progress.all,
-                  "}\n");
-  return Concat(progress.there, " of ", progress.all, "\n");
+    return Concat("{\"reached\": ", progress.reached,
+                  ", \"of\": ", progress.total, "}\n");
+  return Concat(progress.reached, " of ", progress.total, "\n");
 }
 
 }  // namespace
 
 ExitCode Status(const CommandOptions& options, const CommandStreams& streams) {
-  if (const auto given = CheckNodes(options); !given)
-    return Report(given.error(), streams);
-  Table all;
+  if (const auto checked = CheckNodes(options); !checked)
+    return Report(checked.error(), streams);
+  Table table;
   ConfigVersion newest = 0;
   for (const std::string& node : options.nodes) {
     const auto body = Fetch(node, "/status");
@@ -189,54 +190,56 @@
     auto status = ParseStatus(*body);
     if (!status)
       return Report(status.error(), streams);
-    newest = std::max(newest, status->newest);
-    all.columns = status->members.columns;
+    newest = std::max(newest, status->highest_version);
+    table.columns = status->members.columns;
     for (auto& row : status->members.rows)
-      all.rows.push_back(std::move(row));
+      table.rows.push_back(std::move(row));
   }
-  std::sort(all.rows.begin(), all.rows.end());
-  all.rows.erase(std::unique(all.rows.begin(), all.rows.end()), all.rows.end());
-  MarkBehind(all, newest);
-  streams.out << FormatTable(all, options.output);
+  std::sort(table.rows.begin(), table.rows.end());
+  table.rows.erase(std::unique(table.rows.begin(), table.rows.end()),
+                   table.rows.end());
+  AddConfigColumn(table, newest);
+  streams.out << FormatTable(table, options.output);
   return ExitCode::kOk;
 }
 
 ExitCode Moves(const CommandOptions& options, const CommandStreams& streams) {
   const bool json = options.output == OutputFormat::kJson;
-  return Relay(options, json ? "/moves" : "/moves?format=text", streams);
+  return PrintResponse(options, json ? "/moves" : "/moves?format=text",
+                       streams);
 }
 
 ExitCode Explain(const CommandOptions& options, const CommandStreams& streams) {
-  return Relay(
+  return PrintResponse(
       options,
       Concat("/explain?method=", options.method, "&path=", options.path),
       streams);
 }
 
 ExitCode Watch(const CommandOptions& options, const CommandStreams& streams) {
-  if (const auto given = CheckNodes(options); !given)
-    return Report(given.error(), streams);
-  const auto give_up = Clock::now() + options.timeout;
+  if (const auto checked = CheckNodes(options); !checked)
+    return Report(checked.error(), streams);
+  const auto deadline = Clock::now() + options.timeout;
   auto next_progress = Clock::now();
   while (true) {
     const Progress progress =
         options.version > 0 ? CountHolders(options) : CountEnded(options);
-    if (progress.there == progress.all) {
+    if (progress.reached == progress.total) {
       streams.out << ProgressText(progress, options.output);
       return ExitCode::kOk;
     }
-    if (Clock::now() >= give_up) {
-      streams.err << "teaselctl: " << progress.there << " of " << progress.all
-                  << " in the time given; waiting for " << progress.missing
-                  << "\n";
+    if (Clock::now() >= deadline) {
+      streams.err << "teaselctl: " << progress.reached << " of "
+                  << progress.total << " in the time given; waiting for "
+                  << progress.missing << "\n";
       return ExitCode::kTimeout;
     }
     if (Clock::now() >= next_progress) {
-      next_progress = Clock::now() + kProgressEvery;
-      streams.err << progress.there << " of " << progress.all
+      next_progress = Clock::now() + kProgressInterval;
+      streams.err << progress.reached << " of " << progress.total
                   << ", waiting for " << progress.missing << "\n";
     }
-    std::this_thread::sleep_for(kWatchPause);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
--- a/src/commands/publish.cc
+++ b/src/commands/publish.cc
@@ -17,10 +17,10 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t kRecordsAtATime = 1024;
-constexpr std::chrono::milliseconds kRetryPause{200};
+constexpr std::size_t kReadBatchSize = 1024;
+constexpr std::chrono::milliseconds kRetryDelay{200};
 
-std::string FreshPublishId() {
+std::string GeneratePublishId() {
   std::random_device device;
   std::ostringstream id;
   constexpr int kParts = 4;
@@ -40,7 +40,8 @@
 
 // A fold that has met no usable beginning must not be published on: its idea
 // of the head may be old.
-Result<void> CheckBase(const CommandOptions& options, const FoldState& fold) {
+Result<void> CheckFoldIsCurrent(const CommandOptions& options,
+                                const FoldState& fold) {
   const bool empty = fold.position == 0;
   if (empty || fold.is_current || options.new_beginning)
     return {};
@@ -49,43 +50,43 @@
               "from these files");
 }
 
-ExitCode Tell(const PublishOutcome& outcome,
-              const CommandOptions& options,
-              const CommandStreams& streams) {
+ExitCode ReportOutcome(const PublishOutcome& outcome,
+                       const CommandOptions& options,
+                       const CommandStreams& streams) {
   streams.out << FormatOutcome(outcome, options.output);
   return ExitCodeOf(outcome.reason);
 }
 
 // The append and its answer are separate facts: whatever the answer was, the
 // log itself says what became of the publish.
-Result<PublishOutcome> Settle(const CommandOptions& options,
-                              LogReader& reader,
-                              const std::string& record,
-                              const std::string& publish_id,
-                              const CommandStreams& streams) {
-  const auto give_up = Clock::now() + options.timeout;
-  Error last{ErrorKind::kLogUnavailable, "the log did not answer"};
-  bool may_be_there = false;
-  while (Clock::now() < give_up) {
+Result<PublishOutcome> AppendAndAwaitOutcome(const CommandOptions& options,
+                                             LogReader& reader,
+                                             const std::string& record,
+                                             const std::string& publish_id,
+                                             const CommandStreams& streams) {
+  const auto deadline = Clock::now() + options.timeout;
+  Error last_error{ErrorKind::kLogUnavailable, "the log did not answer"};
+  bool may_be_stored = false;
+  while (Clock::now() < deadline) {
     const auto appended = reader.client->Append(reader.stream, record);
     if (!appended) {
-      last = appended.error();
-      may_be_there |= last.kind == ErrorKind::kAppendUnknown;
-      streams.err << "teaselctl: " << last.message << "; trying again\n";
+      last_error = appended.error();
+      may_be_stored |= last_error.kind == ErrorKind::kAppendUnknown;
+      streams.err << "teaselctl: " << last_error.message << "; trying again\n";
     }
     const auto read = ReadToEnd(reader);
     if (!read)
-      last = read.error();
+      last_error = read.error();
     if (const auto* outcome = FindOutcome(reader.fold, publish_id))
       return *outcome;
-    std::this_thread::sleep_for(kRetryPause);
+    std::this_thread::sleep_for(kRetryDelay);
   }
-  if (may_be_there)
+  if (may_be_stored)
     return Fail(
         ErrorKind::kAppendUnknown,
         Concat("the outcome is unknown; run it again with --publish_id=",
                publish_id));
-  return tl::make_unexpected(last);
+  return tl::make_unexpected(last_error);
 }
 
 }  // namespace
@@ -109,7 +110,7 @@
   while (true) {
     const LogOffset from = reader.fold.position + 1;
     const ReadResult batch =
-        reader.client->Read(reader.stream, from, kRecordsAtATime, Duration{});
+        reader.client->Read(reader.stream, from, kReadBatchSize, Duration{});
     if (!batch) {
       const LogReadError& failed = batch.error();
       if (failed.error.kind != ErrorKind::kLogExpired ||
@@ -150,23 +151,26 @@
   if (!reader)
     return Report(reader.error(), streams);
   const std::string publish_id =
-      options.publish_id.empty() ? FreshPublishId() : options.publish_id;
+      options.publish_id.empty() ? GeneratePublishId() : options.publish_id;
   if (const auto* known = FindOutcome(reader->fold, publish_id))
-    return Tell(*known, options, streams);
-  if (const auto base = CheckBase(options, reader->fold); !base)
-    return Report(base.error(), streams);
-  if (options.onto != 0) {
-    if (const auto onto = CheckOnto(reader->fold, options.onto); !onto)
-      return Report(onto.error(), streams);
+    return ReportOutcome(*known, options, streams);
+  if (const auto checked = CheckFoldIsCurrent(options, reader->fold); !checked)
+    return Report(checked.error(), streams);
+  if (options.expected_head != 0) {
+    if (const auto checked =
+            CheckExpectedHead(reader->fold, options.expected_head);
+        !checked)
+      return Report(checked.error(), streams);
   }
   const std::string record =
       RecordFor(options, reader->fold, *document, publish_id);
   streams.err << "publishing on version " << reader->fold.head
               << ", publish_id " << publish_id << "\n";
-  const auto outcome = Settle(options, *reader, record, publish_id, streams);
+  const auto outcome =
+      AppendAndAwaitOutcome(options, *reader, record, publish_id, streams);
   if (!outcome)
     return Report(outcome.error(), streams);
-  return Tell(*outcome, options, streams);
+  return ReportOutcome(*outcome, options, streams);
 }
 
 }  // namespace teaselspread
--- a/src/operator/diff.cc
+++ b/src/operator/diff.cc
@@ -57,11 +57,12 @@
   return text;
 }
 
-Result<void> CheckOnto(const FoldState& state, ConfigVersion onto) {
-  if (onto == state.head)
+Result<void> CheckExpectedHead(const FoldState& state,
+                               ConfigVersion expected_head) {
+  if (expected_head == state.head)
     return {};
   return Fail(ErrorKind::kConfigConflict,
-              Concat("the files were made from version ", onto,
+              Concat("the files were made from version ", expected_head,
                      ", but version ", state.head, " of publish ",
                      state.head_publish_id, " is in force"));
 }
--- a/src/operator/exit_code.cc
+++ b/src/operator/exit_code.cc
@@ -2,8 +2,8 @@
 
 namespace teaselspread {
 
-const std::vector<ExitCodeRow>& ExitCodes() {
-  static const std::vector<ExitCodeRow> rows = {
+const std::vector<ExitCodeInfo>& ExitCodes() {
+  static const std::vector<ExitCodeInfo> rows = {
       {ExitCode::kOk, "ok", "done"},
       {ExitCode::kFailed, "failed", "failed for a reason that it prints"},
       {ExitCode::kUsage, "usage", "bad flags or arguments"},
--- a/src/operator/render_text.cc
+++ b/src/operator/render_text.cc
@@ -109,13 +109,13 @@
     text += tree.text.empty() ? "{}" : YamlScalar(tree);
     return;
   }
-  std::string_view before = "{\n";
+  std::string_view separator = "{\n";
   for (const auto& [name, child] : tree.branches) {
-    text += before;
+    text += separator;
     text.append(2 * (depth + 1), ' ');
     text += Concat(JsonText(name), ": ");
     AppendJson(text, child, depth + 1);
-    before = ",\n";
+    separator = ",\n";
   }
   text += '\n';
   text.append(2 * depth, ' ');
--- a/src/operator/table.cc
+++ b/src/operator/table.cc
@@ -6,10 +6,10 @@
 namespace teaselspread {
 namespace {
 
-constexpr std::string_view kReplacement = "\xef\xbf\xbd";
+constexpr std::string_view kReplacementCharacter = "\xef\xbf\xbd";
 constexpr std::string_view kColumnGap = "  ";
 
-std::size_t SizeByLead(unsigned char lead) {
+std::size_t SizeFromLeadByte(unsigned char lead) {
   if (lead < 0x80)
     return 1;
   if (lead >= 0xc2 && lead < 0xe0)
@@ -21,7 +21,7 @@
 
 // Overlong forms, surrogates and what lies beyond Unicode show in the second
 // byte.
-bool IsSecondByte(unsigned char lead, unsigned char second) {
+bool IsValidSecondByte(unsigned char lead, unsigned char second) {
   const unsigned low = lead == 0xe0 ? 0xa0 : lead == 0xf0 ? 0x90 : 0x80;
   const unsigned high = lead == 0xed ? 0x9f : lead == 0xf4 ? 0x8f : 0xbf;
   return second >= low && second <= high;
@@ -33,10 +33,10 @@
   const auto byte = [text](std::size_t at) {
     return static_cast<unsigned char>(text[at]);
   };
-  const std::size_t size = SizeByLead(byte(0));
+  const std::size_t size = SizeFromLeadByte(byte(0));
   if (size > text.size())
     return 0;
-  if (size > 1 && !IsSecondByte(byte(0), byte(1)))
+  if (size > 1 && !IsValidSecondByte(byte(0), byte(1)))
     return 0;
   for (std::size_t at = 2; at < size; ++at) {
     if ((byte(at) & 0xc0) != 0x80)
@@ -46,7 +46,7 @@
 }
 
 // The escape of a character that JSON does not take as it is.
-std::string Escaped(char c) {
+std::string EscapeJson(char c) {
   switch (c) {
     case '"':
       return "\\\"";
@@ -59,10 +59,10 @@
     default:
       break;
   }
-  constexpr std::string_view kDigits = "0123456789abcdef";
+  constexpr std::string_view kHexDigits = "0123456789abcdef";
   std::string text = "\\u00";
-  text += kDigits[(c >> 4) & 0xf];
-  text += kDigits[c & 0xf];
+  text += kHexDigits[(c >> 4) & 0xf];
+  text += kHexDigits[c & 0xf];
   return text;
 }
 
@@ -71,7 +71,7 @@
          c == 0x7f;
 }
 
-std::vector<std::size_t> WidthsOf(const Table& table) {
+std::vector<std::size_t> ColumnWidths(const Table& table) {
   std::vector<std::size_t> widths;
   for (const std::string& column : table.columns)
     widths.push_back(column.size());
@@ -95,8 +95,8 @@
   text += '\n';
 }
 
-std::string TextTable(const Table& table) {
-  const std::vector<std::size_t> widths = WidthsOf(table);
+std::string FormatTextTable(const Table& table) {
+  const std::vector<std::size_t> widths = ColumnWidths(table);
   std::string text;
   AppendLine(text, table.columns, widths);
   for (const std::vector<std::string>& row : table.rows)
@@ -104,17 +104,17 @@
   return text;
 }
 
-std::string JsonTable(const Table& table) {
+std::string FormatJsonTable(const Table& table) {
   std::string text = "[";
-  std::string_view before_row = "\n  ";
+  std::string_view separator = "\n  ";
   for (const std::vector<std::string>& row : table.rows) {
-    text += Concat(before_row, "{");
+    text += Concat(separator, "{");
     for (std::size_t i = 0; i < table.columns.size(); ++i) {
       text += Concat(i == 0 ? "" : ", ", JsonText(table.columns[i]), ": ",
                      JsonText(row.at(i)));
     }
     text += "}";
-    before_row = ",\n  ";
+    separator = ",\n  ";
   }
   return text + (table.rows.empty() ? "]\n" : "\n]\n");
 }
@@ -126,9 +126,9 @@
   while (!text.empty()) {
     const std::size_t size = CharacterSize(text);
     if (size == 0)
-      json += kReplacement;
+      json += kReplacementCharacter;
     else if (NeedsEscape(text.front()))
-      json += Escaped(text.front());
+      json += EscapeJson(text.front());
     else
       json += text.substr(0, size);
     text.remove_prefix(std::max<std::size_t>(size, 1));
@@ -137,7 +137,8 @@
 }
 
 std::string FormatTable(const Table& table, OutputFormat format) {
-  return format == OutputFormat::kJson ? JsonTable(table) : TextTable(table);
+  return format == OutputFormat::kJson ? FormatJsonTable(table)
+                                       : FormatTextTable(table);
 }
 
 }  // namespace teaselspread
--- a/tests/process/config_test.cc
+++ b/tests/process/config_test.cc
@@ -92,7 +92,7 @@
 // The log takes the append and loses the answer. An operator who is told
 // "failed" publishes again and undoes what came between; told "accepted" twice,
 // the version would rise twice.
-Test(config, a_lost_answer_is_settled_and_applied_once) {
+Test(config, a_publish_with_a_lost_response_is_applied_once) {
   Fleet fleet("test");
   SetUp(fleet, {"bole", "piassa"});
   cr_assert(Control(fleet.LogControl(), "{lost_answers: 1}"));
@@ -158,7 +158,7 @@
 // The log keeps records for a short time only. If no checkpoint carried the
 // state on, whoever starts later, or everyone after a power cut, would find
 // nothing to start from.
-Test(config, the_state_outlives_the_records_that_made_it) {
+Test(config, the_state_survives_expiry_of_its_records) {
   Fleet fleet("test", {"--retention_ms=6000"});
   fleet.SetLogSettings("  retention: 6s\n");
   SetUp(fleet, {"bole", "bole", "piassa"});
--- a/tests/process/history_test.cc
+++ b/tests/process/history_test.cc
@@ -21,9 +21,9 @@
 // depends on which nodes the faults hit: while two of the three holders of
 // claims are lost within seconds, keys are answered "outcome unknown" by
 // design. So the callers go on with further keys until enough have run.
-constexpr std::size_t kLeastRuns = kKeys / 4;
-constexpr std::size_t kMostKeys = 4 * kKeys;
-constexpr std::size_t kSendings = 4;
+constexpr std::size_t kMinRuns = kKeys / 4;
+constexpr std::size_t kMaxKeys = 4 * kKeys;
+constexpr std::size_t kSendsPerKey = 4;
 constexpr std::size_t kCallers = 8;
 constexpr auto kPatience = 20s;
 
@@ -48,7 +48,7 @@
 // answered "outcome unknown" at once, and only later ones are granted. Without
 // a pause the callers are through with most of the keys within the second that
 // this takes, and the rest proves little.
-constexpr auto kPauseAfterRefusal = 20ms;
+constexpr auto kDelayAfterFailure = 20ms;
 
 // A UUID of version 7 made now: keys that tell their age are served again soon
 // after holders of claims are lost.
@@ -69,89 +69,90 @@
 // What all the callers of one key were told. Guarded by History::gate.
 struct KeyHistory {
   std::string key;
-  std::set<std::string> bodies_of_200;
-  std::size_t answers = 0;
+  std::set<std::string> success_bodies;
+  std::size_t responses = 0;
   std::size_t not_run = 0;
 };
 
 struct History {
-  std::mutex gate;
-  std::vector<KeyHistory> keys{kMostKeys};
+  std::mutex mutex;
+  std::vector<KeyHistory> keys{kMaxKeys};
   // Keys that some caller was told to have run.
   std::size_t known_runs = 0;
-  std::map<std::string, int> told;
+  std::map<std::string, int> result_counts;
 };
 
 // A call that reached no node ran nowhere; any other lost answer leaves it
 // open.
-bool SaysNotRun(const HttpResponse& answer) {
-  if (answer.status == 0)
-    return answer.body == NameOf(ErrorKind::kConnectFailed);
-  return FindHeader(answer.headers, kHeaderExecution) == "not-run";
+bool ReportsNotRun(const HttpResponse& response) {
+  if (response.status == 0)
+    return response.body == NameOf(ErrorKind::kConnectFailed);
+  return FindHeader(response.headers, kHeaderExecution) == "not-run";
 }
 
 // The status that the caller got.
 int SendOnce(History& history, const Address& node, std::size_t index) {
   std::string key;
   {
-    const std::scoped_lock lock(history.gate);
+    const std::scoped_lock lock(history.mutex);
     key = history.keys[index].key;
   }
   const std::string path = "/filings/" + std::to_string(index);
-  const HttpResponse answer =
+  const HttpResponse response =
       CallOnce(node, "POST", path, "filing " + std::to_string(index),
                {{std::string(kHeaderIdempotencyKey), key}});
-  const std::scoped_lock lock(history.gate);
-  KeyHistory& of = history.keys[index];
-  ++of.answers;
-  of.not_run += SaysNotRun(answer) ? 1 : 0;
-  if (answer.status == 200) {
-    history.known_runs += of.bodies_of_200.empty() ? 1 : 0;
-    of.bodies_of_200.insert(answer.body);
+  const std::scoped_lock lock(history.mutex);
+  KeyHistory& key_history = history.keys[index];
+  ++key_history.responses;
+  key_history.not_run += ReportsNotRun(response) ? 1 : 0;
+  if (response.status == 200) {
+    history.known_runs += key_history.success_bodies.empty() ? 1 : 0;
+    key_history.success_bodies.insert(response.body);
   }
-  ++history.told[answer.status == 200 ? "200"
-                 : answer.status == 0
-                     ? "lost " + answer.body
-                     : std::string(FindHeader(answer.headers, kHeaderReason))];
-  return answer.status;
+  ++history.result_counts[response.status == 200 ? "200"
+                          : response.status == 0
+                              ? "lost " + response.body
+                              : std::string(FindHeader(response.headers,
+                                                       kHeaderReason))];
+  return response.status;
 }
 
 // The first kKeys, and further ones until enough have run.
-bool IsDue(History& history, std::size_t index) {
+bool ShouldSend(History& history, std::size_t index) {
   if (index < kKeys)
     return true;
-  const std::scoped_lock lock(history.gate);
-  return index < kMostKeys && history.known_runs < kLeastRuns;
+  const std::scoped_lock lock(history.mutex);
+  return index < kMaxKeys && history.known_runs < kMinRuns;
 }
 
 bool WasSent(History& history, std::size_t index) {
-  const std::scoped_lock lock(history.gate);
-  return index < kMostKeys && !history.keys[index].key.empty();
+  const std::scoped_lock lock(history.mutex);
+  return index < kMaxKeys && !history.keys[index].key.empty();
 }
 
 // Callers take the sendings in turn, so that the same key is under way several
 // times at once, each through another node.
 void RunCallers(Fleet& fleet,
                 History& history,
-                std::size_t sendings,
-                bool (*goes_on)(History&, std::size_t index)) {
+                std::size_t sends_per_key,
+                bool (*should_send)(History&, std::size_t index)) {
   std::atomic<std::size_t> next{0};
   std::vector<std::thread> callers;
   for (std::size_t caller = 0; caller < kCallers; ++caller) {
     callers.emplace_back([&, caller] {
       std::mt19937_64 rng(caller);
       for (;;) {
-        const std::size_t index = next++ / sendings;
-        if (!goes_on(history, index))
+        const std::size_t index = next++ / sends_per_key;
+        if (!should_send(history, index))
           return;
         {
-          const std::scoped_lock lock(history.gate);
+          const std::scoped_lock lock(history.mutex);
           if (history.keys[index].key.empty())
             history.keys[index].key = NewKey(rng);
         }
         const Address& node = fleet.At(rng() % fleet.size()).http;
         if (SendOnce(history, node, index) != 200)
-          std::this_thread::sleep_for(kPauseAfterRefusal);
+          std::this_thread::sleep_for(kDelayAfterFailure);
       }
     });
   }
@@ -207,19 +208,19 @@
 // Compares what callers were told with what ran; the number of keys that ran.
 std::size_t CheckHistory(const History& history, const std::string& records) {
   std::size_t ran = 0;
-  for (const KeyHistory& of : history.keys) {
-    if (of.key.empty())
+  for (const KeyHistory& key_history : history.keys) {
+    if (key_history.key.empty())
       continue;
-    const std::size_t runs = Count(records, of.key);
+    const std::size_t runs = Count(records, key_history.key);
     ran += runs;
-    cr_assert(runs <= 1, "%s ran %zu times", of.key.c_str(), runs);
-    cr_assert(of.not_run < of.answers || runs == 0,
+    cr_assert(runs <= 1, "%s ran %zu times", key_history.key.c_str(), runs);
+    cr_assert(key_history.not_run < key_history.responses || runs == 0,
               "%s ran, and every caller was told that it did not",
-              of.key.c_str());
-    cr_assert(of.bodies_of_200.size() <= 1, "%s: two different answers",
-              of.key.c_str());
-    cr_assert(of.bodies_of_200.empty() || runs == 1,
-              "%s: a success that never ran", of.key.c_str());
+              key_history.key.c_str());
+    cr_assert(key_history.success_bodies.size() <= 1,
+              "%s: two different answers", key_history.key.c_str());
+    cr_assert(key_history.success_bodies.empty() || runs == 1,
+              "%s: a success that never ran", key_history.key.c_str());
   }
   return ran;
 }
@@ -252,7 +253,7 @@
   History history;
   std::atomic<bool> done{false};
   std::thread faults([&] { RunFaults(fleet, done); });
-  RunCallers(fleet, history, kSendings, IsDue);
+  RunCallers(fleet, history, kSendsPerKey, ShouldSend);
   done = true;
   faults.join();
   // Those who still don't know ask again; records and forgotten claims must
@@ -260,10 +261,10 @@
   RunCallers(fleet, history, 1, WasSent);
   const std::string records = CallOnce(recorder.At(), "GET", "/records").body;
   const std::size_t ran = CheckHistory(history, records);
-  for (const auto& [told, count] : history.told)
-    std::printf("%s: %d\n", told.c_str(), count);
+  for (const auto& [result, count] : history.result_counts)
+    std::printf("%s: %d\n", result.c_str(), count);
   std::printf("%zu keys ran\n", ran);
-  cr_assert(ran >= kLeastRuns, "%zu ran: too few to prove anything", ran);
+  cr_assert(ran >= kMinRuns, "%zu ran: too few to prove anything", ran);
 }
 
 }  // namespace
--- a/tests/process/teaselctl_test.cc
+++ b/tests/process/teaselctl_test.cc
@@ -10,17 +10,17 @@
 
 constexpr std::chrono::seconds kPatience{20};
 
-struct Row {
-  std::vector<std::string> words;
+struct Case {
+  std::vector<std::string> arguments;
   int exit_code;
   // Must stand in what is printed.
-  std::string part;
+  std::string expected_output;
 };
 
 // A script that publishes must tell a mistyped flag from a failed publish; with
 // the same exit code for both it would try again for ever.
 Test(teaselctl, bad_arguments_end_with_the_code_for_usage) {
-  const std::vector<Row> rows = {
+  const std::vector<Case> rows = {
       {{}, 2, "exactly one command"},
       {{"bogus"}, 2, "bogus"},
       {{"status", "watch"}, 2, "exactly one command"},
@@ -43,13 +43,14 @@
       {{"--nodes=127.0.0.1:1", "status"}, 5, "127.0.0.1:1"},
       {{"--new_beginning", "--version"}, 0, "teaselctl"},
   };
-  for (const Row& row : rows) {
-    Program ctl("teaselctl", row.words);
+  for (const Case& row : rows) {
+    Program ctl("teaselctl", row.arguments);
     const int code = ctl.WaitExit();
-    const std::string words = row.words.empty() ? "" : row.words.front();
+    const std::string words =
+        row.arguments.empty() ? "" : row.arguments.front();
     cr_expect(code == row.exit_code, "%s: %d", words.c_str(), code);
-    cr_expect(ctl.Output().find(row.part) != std::string::npos, "%s: %s",
-              words.c_str(), ctl.Output().c_str());
+    cr_expect(ctl.Output().find(row.expected_output) != std::string::npos,
+              "%s: %s", words.c_str(), ctl.Output().c_str());
   }
 }
 
@@ -66,7 +67,7 @@
 
 // One proxy stands still while the others took the new version. In a list of
 // hundreds the operator finds it by the mark only.
-Test(teaselctl, status_marks_who_is_behind_and_watch_waits_for_it) {
+Test(teaselctl, status_marks_nodes_behind_and_watch_waits_for_them) {
   Fleet fleet("test");
   for (int i = 0; i < 3; ++i)
     fleet.Add("bole", "registry-desk", "v1");
--- a/tests/unit/operator_test.cc
+++ b/tests/unit/operator_test.cc
@@ -73,7 +73,7 @@
   cr_assert(FormatDifferences({}, OutputFormat::kText).empty());
 }
 
-Test(operator_output, a_table_lines_up_and_its_json_is_escaped) {
+Test(operator_output, table_columns_align_and_json_is_escaped) {
   const Table table{{"vm", "version"}, {{"bole-01", "7"}, {"a\"b", "12"}}};
   cr_assert(FormatTable(table, OutputFormat::kText) ==
             "vm       version\nbole-01  7\na\"b      12\n");
@@ -86,11 +86,11 @@
 Test(operator_output, json_text_is_always_valid_utf8) {
   cr_assert(JsonText("a\n\x01\x7f") == "\"a\\n\\u0001\\u007f\"");
   cr_assert(JsonText("\xe1\x88\xa0") == "\"\xe1\x88\xa0\"");
-  for (const char* bad : {"\xff", "\xc0", "\xed", "\xe1"})
-    cr_assert(JsonText(bad) == "\"\xef\xbf\xbd\"");
+  for (const char* invalid : {"\xff", "\xc0", "\xed", "\xe1"})
+    cr_assert(JsonText(invalid) == "\"\xef\xbf\xbd\"");
 }
 
-Test(operator_output, a_lost_race_names_its_winner) {
+Test(operator_output, a_conflict_names_the_winning_publish) {
   const std::string text =
       FormatOutcome({"mine", 9, FoldReason::kConflict, 8, "theirs",
                      "parent 7 is not the accepted version 8"},
@@ -106,17 +106,18 @@
   FoldState state;
   const Document document = Load(kBase);
   Fold(state, 1, EncodeRecord(MakeChange(state, document, "theirs")));
-  cr_assert(CheckOnto(state, 1).has_value());
-  const auto late = CheckOnto(state, 0);
-  cr_assert(late.error().kind == ErrorKind::kConfigConflict);
-  cr_assert(late.error().message.find("publish theirs") != std::string::npos);
+  cr_assert(CheckExpectedHead(state, 1).has_value());
+  const auto outdated = CheckExpectedHead(state, 0);
+  cr_assert(outdated.error().kind == ErrorKind::kConfigConflict);
+  cr_assert(outdated.error().message.find("publish theirs") !=
+            std::string::npos);
   const Table table = OutcomeTable(state);
   cr_assert(table.rows.size() == 1 && table.rows[0][2] == "accepted");
 }
 
-Test(operator_output, each_exit_code_stands_once_in_the_table) {
+Test(operator_output, each_exit_code_is_listed_once) {
   std::set<int> codes;
-  for (const ExitCodeRow& row : ExitCodes())
+  for (const ExitCodeInfo& row : ExitCodes())
     codes.insert(static_cast<int>(row.code));
   cr_assert(codes.size() == ExitCodes().size());
   for (int i = 0; i < static_cast<int>(ErrorKind::kCount); ++i) {
--- a/tools/teaselctl.cc
+++ b/tools/teaselctl.cc
@@ -52,17 +52,17 @@
   std::string text = "teaselctl [flags] COMMAND\n\nCommands:\n";
   for (const auto& command : teaselspread::Commands()) {
     text += "  " + std::string(command.name) + ": " +
-            std::string(command.meaning) + "\n";
+            std::string(command.description) + "\n";
   }
   text += "\nExit codes:\n";
   for (const auto& row : teaselspread::ExitCodes()) {
     text += "  " + std::to_string(static_cast<int>(row.code)) + " " +
-            std::string(row.name) + ": " + std::string(row.meaning) + "\n";
+            std::string(row.name) + ": " + std::string(row.description) + "\n";
   }
   return text;
 }
 
-CommandOptions OptionsOfFlags() {
+CommandOptions OptionsFromFlags() {
   CommandOptions options;
   options.config = absl::GetFlag(FLAGS_config);
   options.deployment = absl::GetFlag(FLAGS_deployment);
@@ -71,7 +71,7 @@
   options.nodes = absl::GetFlag(FLAGS_nodes);
   options.publish_id = absl::GetFlag(FLAGS_publish_id);
   options.new_beginning = absl::GetFlag(FLAGS_new_beginning);
-  options.onto = absl::GetFlag(FLAGS_onto);
+  options.expected_head = absl::GetFlag(FLAGS_onto);
   options.timeout = std::chrono::seconds(absl::GetFlag(FLAGS_timeout_s));
   options.version = absl::GetFlag(FLAGS_until);
   options.method = absl::GetFlag(FLAGS_method);
@@ -79,7 +79,7 @@
   return options;
 }
 
-int Usage(const std::string& message) {
+int ReportUsageError(const std::string& message) {
   std::cerr << "teaselctl: " << message << "; see --help\n";
   return static_cast<int>(ExitCode::kUsage);
 }
@@ -95,16 +95,16 @@
 
 // What is wrong with the flags; "" if nothing. The parser ends the program with
 // 1 on a bad flag, which for a script means "failed" and not "mistyped".
-std::string FlagFault(int argc, char** argv) {
+std::string FlagError(int argc, char** argv) {
   for (int i = 1; i < argc; ++i) {
-    std::string_view word = argv[i];
-    if (word == "--")
+    std::string_view argument = argv[i];
+    if (argument == "--")
       return "";
-    if (word.size() < 2 || word.front() != '-')
+    if (argument.size() < 2 || argument.front() != '-')
       continue;
-    word.remove_prefix(word.substr(0, 2) == "--" ? 2 : 1);
-    const std::size_t equals = word.find('=');
-    const std::string name(word.substr(0, equals));
+    argument.remove_prefix(argument.substr(0, 2) == "--" ? 2 : 1);
+    const std::size_t equals = argument.find('=');
+    const std::string name(argument.substr(0, equals));
     if (IsHelpFlag(name))
       continue;
     absl::CommandLineFlag* flag = absl::FindCommandLineFlag(name);
@@ -118,7 +118,8 @@
       continue;
     if (negated || (!has_value && i + 1 == argc))
       return "bad value of --" + name;
-    const std::string value(has_value ? word.substr(equals + 1) : argv[++i]);
+    const std::string value(has_value ? argument.substr(equals + 1)
+                                      : argv[++i]);
     // The parser takes it again, to the same effect.
     if (std::string error; !flag->ParseFrom(value, &error))
       return error;
@@ -133,17 +134,17 @@
   usage.version_string = VersionText;
   absl::SetFlagsUsageConfig(usage);
   absl::SetProgramUsageMessage(HelpText());
-  if (const std::string fault = FlagFault(argc, argv); !fault.empty())
-    return Usage(fault);
-  const std::vector<char*> words = absl::ParseCommandLine(argc, argv);
-  constexpr std::size_t kWords = 2;
-  if (words.size() != kWords)
-    return Usage("exactly one command is needed");
-  CommandOptions options = OptionsOfFlags();
+  if (const std::string flag_error = FlagError(argc, argv); !flag_error.empty())
+    return ReportUsageError(flag_error);
+  const std::vector<char*> arguments = absl::ParseCommandLine(argc, argv);
+  constexpr std::size_t kArgumentCount = 2;
+  if (arguments.size() != kArgumentCount)
+    return ReportUsageError("exactly one command is needed");
+  CommandOptions options = OptionsFromFlags();
   const std::string output = absl::GetFlag(FLAGS_output);
   if (output != "text" && output != "json")
-    return Usage("--output must be text or json");
+    return ReportUsageError("--output must be text or json");
   options.output = output == "json" ? OutputFormat::kJson : OutputFormat::kText;
   return static_cast<int>(
-      teaselspread::RunCommand(words.at(1), options, std::cout, std::cerr));
+      teaselspread::RunCommand(arguments.at(1), options, std::cout, std::cerr));
 }
--- a/tools/teaselnode.cc
+++ b/tools/teaselnode.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr int kSettingsExit = 2;
+constexpr int kFailureExitCode = 2;
 
 std::string VersionText() {
   return "teaselnode " TEASELSPREAD_VERSION "\n";
@@ -34,13 +34,13 @@
   const auto settings = teaselspread::LoadNodeSettings(path);
   if (!settings) {
     std::cerr << settings.error().message << "\n";
-    return kSettingsExit;
+    return kFailureExitCode;
   }
   teaselspread::StartLogging({settings->vm, settings->data_center},
                              settings->logging.level, settings->logging.file);
   if (const auto ran = teaselspread::RunNode(*settings); !ran) {
     std::cerr << ran.error().message << "\n";
-    return kSettingsExit;
+    return kFailureExitCode;
   }
   return 0;
 }
