--- a/include/teaselspread/commands.h
+++ b/include/teaselspread/commands.h
@@ -1,5 +1,5 @@
-// The commands of teaselctl: files and sockets around the pure parts in
-// operator.h.
+// The commands of teaselctl: file and network access around the pure functions
+// of operator.h.
 #ifndef TEASELSPREAD_COMMANDS_H_
 #define TEASELSPREAD_COMMANDS_H_
 
@@ -13,9 +13,9 @@
 
 namespace teaselspread {
 
-// What the flags say.
+// The values of the command line flags.
 struct CommandOptions {
-  // Folder with base.yaml and one NAME.yaml for each data centre's overlay.
+  // Folder with base.yaml and one overlay NAME.yaml for each data centre.
   std::string config;
   std::string deployment;
   std::string data_center;
@@ -24,14 +24,13 @@
   // "host:port" of nodes; each may be of another data centre.
   std::vector<std::string> nodes;
   std::string publish_id;
-  // Begin anew although the log has lost every checkpoint.
+  // Publish a new origin although the log has lost every checkpoint.
   bool new_beginning = false;
-  // The version that the operator's files were made for; 0 takes whatever is
-  // accepted now.
+  // The version that the operator's files were made from; 0 accepts any head.
   ConfigVersion expected_head = 0;
   OutputFormat output = OutputFormat::kText;
   Duration timeout = std::chrono::seconds(30);
-  // For `watch`: the version to wait for, or 0 to wait for the moves' end.
+  // For `watch`: the version to wait for, or 0 to wait until all moves ended.
   ConfigVersion version = 0;
   // For `explain`.
   std::string method = "GET";
--- a/include/teaselspread/operator.h
+++ b/include/teaselspread/operator.h
@@ -1,4 +1,5 @@
-// What teaselctl shows and how it ends: the pure part of the command line.
+// Output formats and exit codes of teaselctl: the pure part of the command
+// line, without files or sockets.
 #ifndef TEASELSPREAD_OPERATOR_H_
 #define TEASELSPREAD_OPERATOR_H_
 
@@ -14,28 +15,27 @@
 
 namespace teaselspread {
 
-// How teaselctl ends. Scripts depend on the numbers: they never change.
+// Exit codes of teaselctl. Scripts depend on the numbers: they never change.
 enum class ExitCode : std::uint8_t {
   kOk = 0,
-  // Something that fits no other code.
+  // Any failure without a code of its own.
   kFailed = 1,
   // Bad flags or arguments.
   kUsage = 2,
   // The files are not valid; nothing was published.
   kInvalid = 3,
-  // Another publish came first; nothing changed.
+  // Another publish was accepted first; nothing changed.
   kConflict = 4,
   // The log or the nodes cannot be reached; nothing is known to have changed.
   kUnreachable = 5,
   // The append may have taken effect; run the same publish again.
   kUnknown = 6,
-  // Not reached in the time given by the operator.
+  // Not reached within the operator's time-out.
   kTimeout = 7,
   // `diff` found differences.
   kDifferent = 8,
 };
 
-// One row of the table of exit codes.
 struct ExitCodeInfo {
   ExitCode code;
   std::string_view name;
@@ -45,11 +45,11 @@
 // All exit codes, for the help text and the docs. Thread safe.
 [[nodiscard]] const std::vector<ExitCodeInfo>& ExitCodes();
 
-// The code for an error of `kind`. Thread safe.
+// The exit code for an error of `kind`. Thread safe.
 [[nodiscard]] ExitCode ExitCodeOf(ErrorKind kind);
 
-// The code for the verdict on a publish. A duplicate is to be looked up by
-// FindOutcome first. Thread safe.
+// The exit code for the verdict on a publish. Precondition: a duplicate has
+// been resolved by FindOutcome. Thread safe.
 [[nodiscard]] ExitCode ExitCodeOf(FoldReason reason);
 
 enum class OutputFormat : std::uint8_t { kText, kJson };
@@ -77,7 +77,7 @@
 // The same as JSON. Thread safe.
 [[nodiscard]] std::string FormatJson(const Snapshot& snapshot);
 
-// One leaf that differs. An empty text stands for "not there".
+// One leaf that differs. An empty text means that the leaf is absent.
 struct Difference {
   std::string path;
   std::string before;
@@ -96,20 +96,19 @@
     const std::vector<Difference>& differences,
     OutputFormat format);
 
-// Whether the version that the operator's files were made from is still the
-// accepted one. A publish takes the head as its parent when it is made, so that
-// without this an operator with an old copy of the files would undo what others
-// have published since, without a conflict. Fails with kConfigConflict and
-// names the winner. Precondition: the state is folded to the log's end.
-// Thread safe.
+// Checks that the version that the operator's files were made from is still the
+// head. A publish takes the current head as its parent, so without this check
+// outdated files would undo later publishes of others without a conflict. Fails
+// with kConfigConflict and names the accepted publish. Precondition: the state
+// is folded to the end of the log. Thread safe.
 [[nodiscard]] Result<void> CheckExpectedHead(const FoldState& state,
                                              ConfigVersion expected_head);
 
 // The last publishes with their verdicts, oldest first. Thread safe.
 [[nodiscard]] Table OutcomeTable(const FoldState& state);
 
-// What `publish` says in the end: accepted as which version, or refused, why
-// and by whom it was beaten. Thread safe.
+// The result of `publish`: the accepted version, or the reason of the refusal
+// and the publish that is in force. Thread safe.
 [[nodiscard]] std::string FormatOutcome(const PublishOutcome& outcome,
                                         OutputFormat format);
 
--- a/src/commands/commands.h
+++ b/src/commands/commands.h
@@ -1,4 +1,4 @@
-// The parts of teaselctl's commands.
+// Internal declarations of teaselctl's commands.
 #ifndef TEASELSPREAD_SRC_COMMANDS_COMMANDS_H_
 #define TEASELSPREAD_SRC_COMMANDS_COMMANDS_H_
 
@@ -11,20 +11,20 @@
 
 namespace teaselspread {
 
-// Where a command writes.
+// Output streams of a command: results to `out`, progress and errors to `err`.
 struct CommandStreams {
   std::ostream& out;
   std::ostream& err;
 };
 
-// Prints the error's line and gives its exit code.
+// Prints the error message to `err` and returns its exit code.
 ExitCode Report(const Error& error, const CommandStreams& streams);
 
 // Reads the folder of base file and overlays. Errors: kUsage, kConfigSyntax,
 // kConfigInvalid.
 [[nodiscard]] Result<Document> ReadSources(const std::string& folder);
 
-// Each command; all block up to the timeout.
+// The commands. Each blocks up to the time-out.
 ExitCode Validate(const CommandOptions& options, const CommandStreams& streams);
 ExitCode RenderDataCenter(const CommandOptions& options,
                           const CommandStreams& streams);
--- a/src/commands/files.cc
+++ b/src/commands/files.cc
@@ -1,4 +1,4 @@
-// Commands that work on the operators' files.
+// Commands that read the operator's configuration files.
 #include <array>
 #include <filesystem>
 #include <fstream>
--- a/src/commands/log_reader.h
+++ b/src/commands/log_reader.h
@@ -1,4 +1,4 @@
-// Reads and folds the log from its oldest record, as operators' tools do.
+// Reads and folds the log from its oldest record, for the operator commands.
 #ifndef TEASELSPREAD_SRC_COMMANDS_LOG_READER_H_
 #define TEASELSPREAD_SRC_COMMANDS_LOG_READER_H_
 
@@ -19,14 +19,14 @@
   FoldState fold;
 };
 
-// Nothing is sent yet. Errors: kUsage without --log or --deployment.
+// Sends nothing yet. Errors: kUsage without --log or --deployment.
 [[nodiscard]] Result<LogReader> OpenLog(const CommandOptions& options);
 
-// Folds until nothing is left to read. Errors: kLogUnavailable, kLogExpired.
-// Blocks up to the client's time limits.
+// Folds up to the end of the log. Errors: kLogUnavailable, kLogExpired. Blocks
+// up to the client's time-outs.
 [[nodiscard]] Result<void> ReadToEnd(LogReader& reader);
 
-// OpenLog and ReadToEnd in one.
+// OpenLog followed by ReadToEnd.
 [[nodiscard]] Result<LogReader> ReadWholeLog(const CommandOptions& options);
 
 }  // namespace teaselspread
--- a/src/commands/nodes.cc
+++ b/src/commands/nodes.cc
@@ -1,4 +1,4 @@
-// Commands that ask nodes.
+// Commands that query nodes.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -43,11 +43,11 @@
   return std::move(response->body);
 }
 
-// What one node says of its data centre.
+// What one node reports about its data centre.
 struct DataCenterStatus {
   std::string data_center;
   ConfigVersion version = 0;
-  // The highest version that the node has heard of.
+  // The highest version that is known to the node.
   ConfigVersion highest_version = 0;
   Table members;
 };
@@ -100,7 +100,7 @@
   std::string missing;
 };
 
-// The columns of ParseStatus that are read again.
+// Indexes into the columns of ParseStatus.
 constexpr std::size_t kStatusColumn = 2;
 constexpr std::size_t kVersionColumn = 3;
 
@@ -108,8 +108,8 @@
   return ParseNumberText<ConfigVersion>(row.at(kVersionColumn)).value_or(0);
 }
 
-// Adds a column that says which rows do not hold the newest version known: what
-// an operator looks for in a list of hundreds.
+// Adds a column that marks rows behind the newest known version, so that an
+// operator finds them in a list of hundreds.
 void AddConfigColumn(Table& table, ConfigVersion newest) {
   for (const auto& row : table.rows)
     newest = std::max(newest, VersionIn(row));
@@ -121,7 +121,8 @@
   }
 }
 
-// How many live members of all the data centres asked hold `version`.
+// How many live members of all queried data centres hold `options.version`.
+// A node without a valid response counts as one member that doesn't.
 Progress CountHolders(const CommandOptions& options) {
   Progress progress;
   for (const std::string& node : options.nodes) {
@@ -168,7 +169,7 @@
   return progress;
 }
 
-// The result of a watch that came to its end.
+// The result of a successful watch.
 std::string ProgressText(const Progress& progress, OutputFormat format) {
   if (format == OutputFormat::kJson)
     return Concat("{\"reached\": ", progress.reached,
--- a/src/commands/publish.cc
+++ b/src/commands/publish.cc
@@ -1,4 +1,4 @@
-// Publishing: append, then read the verdict.
+// Appends a publish to the log and reads its verdict.
 #include <chrono>
 #include <cstdint>
 #include <ostream>
@@ -38,8 +38,8 @@
   return EncodeRecord(MakeChange(fold, document, publish_id));
 }
 
-// A fold that has met no usable beginning must not be published on: its idea
-// of the head may be old.
+// Refuses to publish on a fold that began in the middle of the log or missed
+// records and has read no checkpoint since: its head may be outdated.
 Result<void> CheckFoldIsCurrent(const CommandOptions& options,
                                 const FoldState& fold) {
   const bool empty = fold.position == 0;
@@ -57,8 +57,8 @@
   return ExitCodeOf(outcome.reason);
 }
 
-// The append and its answer are separate facts: whatever the answer was, the
-// log itself says what became of the publish.
+// Appends until the log holds an outcome. An append may have taken effect
+// whatever its response was, so only the folded log decides.
 Result<PublishOutcome> AppendAndAwaitOutcome(const CommandOptions& options,
                                              LogReader& reader,
                                              const std::string& record,
--- a/src/operator/render_text.cc
+++ b/src/operator/render_text.cc
@@ -1,4 +1,4 @@
-// The merged configuration as YAML and as JSON, through one tree of values.
+// Formats the merged configuration as YAML and JSON from one tree of values.
 #include <utility>
 
 #include "base/text.h"
@@ -10,10 +10,10 @@
 
 struct Branch;
 
-// A scalar or a map whose order is kept.
+// A scalar, or a map that keeps insertion order.
 struct Tree {
   std::string text;
-  // Whether JSON shows it without quotes.
+  // Whether it is written without quotes.
   bool is_plain = false;
   std::vector<Branch> branches;
 };
@@ -23,7 +23,7 @@
   Tree tree;
 };
 
-// JSON has numbers and truth values of its own; the rest is text.
+// Numbers and booleans are native in JSON; all other values are strings.
 bool IsPlain(const Scalar& value) {
   return std::holds_alternative<bool>(value) ||
          std::holds_alternative<std::int64_t>(value) ||
@@ -38,7 +38,7 @@
   return parent.branches.emplace_back(Branch{std::string(name), {}}).tree;
 }
 
-// Sets the leaf at "bounds/slowdown" and the like.
+// Sets the leaf at a path such as "bounds/slowdown".
 void SetLeaf(Tree& tree, std::string_view path, const Scalar& value) {
   Tree* at = &tree;
   for (std::size_t slash = path.find('/'); slash != std::string_view::npos;
@@ -59,7 +59,7 @@
   return tree;
 }
 
-// A flow list, which YAML and JSON write alike.
+// A flow sequence, which has the same syntax in YAML and JSON.
 Tree ListOf(const std::vector<std::string>& names) {
   std::string text;
   for (const std::string& name : names)
@@ -85,8 +85,8 @@
   return tree;
 }
 
-// Names and canonical values hold no character that YAML gives a meaning, but
-// a name may look like a number or a truth value: those are quoted.
+// Names and canonical values hold no character that is special in YAML, but a
+// name may look like a number or a boolean, so strings are quoted.
 std::string YamlScalar(const Tree& tree) {
   return tree.is_plain ? tree.text : JsonText(tree.text);
 }
--- a/src/operator/table.cc
+++ b/src/operator/table.cc
@@ -19,15 +19,15 @@
   return lead >= 0xf0 && lead < 0xf5 ? 4 : 0;
 }
 
-// Overlong forms, surrogates and what lies beyond Unicode show in the second
-// byte.
+// Overlong forms, surrogates and code points above U+10FFFF are recognized by
+// the second byte.
 bool IsValidSecondByte(unsigned char lead, unsigned char second) {
   const unsigned low = lead == 0xe0 ? 0xa0 : lead == 0xf0 ? 0x90 : 0x80;
   const unsigned high = lead == 0xed ? 0x9f : lead == 0xf4 ? 0x8f : 0xbf;
   return second >= low && second <= high;
 }
 
-// Bytes of the UTF-8 character at the start of `text`, 0 if there is none.
+// Bytes of the UTF-8 character at the start of `text`, 0 if it is invalid.
 // Precondition: text is not empty.
 std::size_t CharacterSize(std::string_view text) {
   const auto byte = [text](std::size_t at) {
@@ -45,7 +45,7 @@
   return size;
 }
 
-// The escape of a character that JSON does not take as it is.
+// The escape sequence of a character that needs one in JSON.
 std::string EscapeJson(char c) {
   switch (c) {
     case '"':
--- a/tests/process/config_test.cc
+++ b/tests/process/config_test.cc
@@ -29,7 +29,7 @@
     fleet.Add(data_center, "registry-desk", "v1");
 }
 
-// The version that a publish got.
+// Publishes and returns the accepted version.
 ConfigVersion Publish(Fleet& fleet, int queue_limit) {
   const CommandResult published =
       fleet.Publish(fleet.WriteConfig(Base(queue_limit)), {"--output=json"});
@@ -45,9 +45,9 @@
   cr_assert(WaitUntil([&] { return fleet.AllAgree(first); }, kPatience));
 }
 
-// Six operators publish at once from the same state. Without one verdict for
-// all, each would believe that its files are in force, and two nodes could hold
-// different ones.
+// Six operators publish concurrently from the same state. If more than one were
+// accepted on a parent, each operator would believe its files to be in force,
+// and nodes could hold different ones.
 Test(config, of_racing_operators_one_wins_per_parent) {
   Fleet fleet("test");
   SetUp(fleet, {"bole", "bole", "piassa", "piassa"});
@@ -89,9 +89,9 @@
   cr_assert(WaitUntil([&] { return fleet.AllAgree(last); }, kPatience));
 }
 
-// The log takes the append and loses the answer. An operator who is told
-// "failed" publishes again and undoes what came between; told "accepted" twice,
-// the version would rise twice.
+// The log stores the append but its response is lost. Reported as failed, the
+// operator would publish again and undo what came between; accepted twice, the
+// version would rise twice.
 Test(config, a_publish_with_a_lost_response_is_applied_once) {
   Fleet fleet("test");
   SetUp(fleet, {"bole", "piassa"});
@@ -113,8 +113,8 @@
   cr_assert(WaitUntil([&] { return fleet.AllAgree(next); }, kPatience));
 }
 
-// One data centre loses its way to the log, but not to the others. Its callers
-// must get the newest configuration as soon as everyone else.
+// One data centre is cut off from the log, but not from the others. Its nodes
+// must get the newest configuration as soon as the others.
 Test(config, a_data_center_cut_from_the_log_converges_through_the_others) {
   Fleet fleet("test");
   SetUp(fleet, {"bole", "bole", "piassa", "piassa"});
@@ -130,12 +130,12 @@
   cr_assert(WaitUntil([&] { return fleet.AllAgree(after); }, kPatience));
 }
 
-// The log hangs for seconds, then answers slowly, while VMs are replaced. A new
-// node must be ready from its peers alone, and nothing may revert when the log
-// comes back.
+// The log hangs for seconds, then responds slowly, while nodes restart. A new
+// node must become ready from its peers alone, and no version may revert when
+// the log recovers.
 Test(config, nodes_restart_while_the_log_hangs_and_is_slow) {
   Fleet fleet("test");
-  // Two others must vouch for a new node while the log is silent.
+  // A new node needs confirmation by two others while the log is unavailable.
   SetUp(fleet, {"bole", "bole", "bole", "piassa", "piassa", "piassa"});
   const ConfigVersion before = Publish(fleet, 2);
   cr_assert(WaitUntil([&] { return fleet.AllAgree(before); }, kPatience));
@@ -155,9 +155,8 @@
   cr_assert(WaitUntil([&] { return fleet.AllAgree(after); }, kPatience));
 }
 
-// The log keeps records for a short time only. If no checkpoint carried the
-// state on, whoever starts later, or everyone after a power cut, would find
-// nothing to start from.
+// Records expire after the log's short retention. Without a checkpoint, a node
+// that starts later, or all nodes after a power cut, would find no state.
 Test(config, the_state_survives_expiry_of_its_records) {
   Fleet fleet("test", {"--retention_ms=6000"});
   fleet.SetLogSettings("  retention: 6s\n");
@@ -185,9 +184,9 @@
   cr_assert(WaitUntil([&] { return fleet.AllAgree(next); }, kPatience));
 }
 
-// During an upgrade a node of a newer release sends frames that this one cannot
-// read. Read wrongly, they would bring in rubbish; dropped without a word, the
-// operator would look for the fault in the network.
+// During an upgrade a node of a newer release sends frames in a format that
+// this one cannot parse. Misread, they would corrupt the state; dropped
+// silently, the operator would look for the fault in the network.
 Test(config, a_frame_of_a_newer_format_is_refused_and_counted) {
   Fleet fleet("test");
   SetUp(fleet, {"bole", "bole"});
--- a/tests/process/history_test.cc
+++ b/tests/process/history_test.cc
@@ -17,10 +17,10 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kKeys = 1500;
-// Of these so many must have run, or the history proves too little. How many do
-// depends on which nodes the faults hit: while two of the three holders of
-// claims are lost within seconds, keys are answered "outcome unknown" by
-// design. So the callers go on with further keys until enough have run.
+// Keys that must have run for the check to be meaningful. The number that runs
+// depends on which nodes fail: while two of the three claim holders are lost
+// within seconds, keys get "outcome unknown" by design. So the callers go on
+// with further keys until enough have run.
 constexpr std::size_t kMinRuns = kKeys / 4;
 constexpr std::size_t kMaxKeys = 4 * kKeys;
 constexpr std::size_t kSendsPerKey = 4;
@@ -44,14 +44,13 @@
     deadline: 2s
 )";
 
-// After the loss of a holder of claims, keys that were drawn before are
-// answered "outcome unknown" at once, and only later ones are granted. Without
-// a pause the callers are through with most of the keys within the second that
-// this takes, and the rest proves little.
+// After the loss of a claim holder, keys created before get "outcome unknown"
+// at once, and only later ones are granted. Without a delay the callers would
+// use up most keys within the second that this takes, and too few would run.
 constexpr auto kDelayAfterFailure = 20ms;
 
-// A UUID of version 7 made now: keys that tell their age are served again soon
-// after holders of claims are lost.
+// A UUIDv7 of the current time: keys that carry a timestamp are served again
+// soon after claim holders are lost.
 std::string NewKey(std::mt19937_64& rng) {
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
@@ -66,7 +65,7 @@
   return text;
 }
 
-// What all the callers of one key were told. Guarded by History::gate.
+// All responses to the requests of one key. Guarded by History::mutex.
 struct KeyHistory {
   std::string key;
   std::set<std::string> success_bodies;
@@ -77,20 +76,20 @@
 struct History {
   std::mutex mutex;
   std::vector<KeyHistory> keys{kMaxKeys};
-  // Keys that some caller was told to have run.
+  // Keys with at least one successful response.
   std::size_t known_runs = 0;
   std::map<std::string, int> result_counts;
 };
 
-// A call that reached no node ran nowhere; any other lost answer leaves it
-// open.
+// A request that reached no node did not run; after any other lost response it
+// may have run.
 bool ReportsNotRun(const HttpResponse& response) {
   if (response.status == 0)
     return response.body == NameOf(ErrorKind::kConnectFailed);
   return FindHeader(response.headers, kHeaderExecution) == "not-run";
 }
 
-// The status that the caller got.
+// Returns the HTTP status, 0 if there was no response.
 int SendOnce(History& history, const Address& node, std::size_t index) {
   std::string key;
   {
@@ -117,7 +116,7 @@
   return response.status;
 }
 
-// The first kKeys, and further ones until enough have run.
+// True for the first kKeys, and for further ones until enough have run.
 bool ShouldSend(History& history, std::size_t index) {
   if (index < kKeys)
     return true;
@@ -130,8 +129,8 @@
   return index < kMaxKeys && !history.keys[index].key.empty();
 }
 
-// Callers take the sendings in turn, so that the same key is under way several
-// times at once, each through another node.
+// Callers take the requests in turn, so that several requests of the same key
+// are in flight at once, through random nodes.
 void RunCallers(Fleet& fleet,
                 History& history,
                 std::size_t sends_per_key,
@@ -172,8 +171,8 @@
   fleet.StartNode(vm);
 }
 
-// One fault after the other until the callers have done.
-void RunFaults(Fleet& fleet, const std::atomic<bool>& done) {
+// Injects one fault after the other until `done` is set.
+void InjectFaults(Fleet& fleet, const std::atomic<bool>& done) {
   std::mt19937_64 rng(6);
   for (int step = 0; !done; ++step) {
     FleetVm& vm = fleet.At(rng() % fleet.size());
@@ -205,7 +204,7 @@
   return count;
 }
 
-// Compares what callers were told with what ran; the number of keys that ran.
+// Compares the responses with the recorded runs; returns how many keys ran.
 std::size_t CheckHistory(const History& history, const std::string& records) {
   std::size_t ran = 0;
   for (const KeyHistory& key_history : history.keys) {
@@ -225,11 +224,10 @@
   return ran;
 }
 
-// Callers that see no answer send a filing again, through whatever node they
-// find, while nodes are killed, restarted and paused, and upstreams crash or
-// lose their answers. A key that ran twice is a second lodgement and a second
-// fee; one that ran although all were told "not-run" is lodged behind the
-// caller's back.
+// Callers retry a filing through random nodes while nodes are killed, restarted
+// and paused, and upstreams crash or lose responses. A key that runs twice is a
+// second lodgement and a second fee; one that runs although all responses were
+// "not-run" is lodged without the caller knowing.
 Test(history, a_key_runs_at_most_once_whatever_fails) {
   Program recorder("recorder", {});
   Fleet fleet("test");
@@ -252,12 +250,12 @@
       kPatience));
   History history;
   std::atomic<bool> done{false};
-  std::thread faults([&] { RunFaults(fleet, done); });
+  std::thread faults([&] { InjectFaults(fleet, done); });
   RunCallers(fleet, history, kSendsPerKey, ShouldSend);
   done = true;
   faults.join();
-  // Those who still don't know ask again; records and forgotten claims must
-  // both hold.
+  // Sends each key once more: neither a held nor a forgotten claim may lead to
+  // a second run.
   RunCallers(fleet, history, 1, WasSent);
   const std::string records = CallOnce(recorder.At(), "GET", "/records").body;
   const std::size_t ran = CheckHistory(history, records);
--- a/tests/process/teaselctl_test.cc
+++ b/tests/process/teaselctl_test.cc
@@ -13,12 +13,12 @@
 struct Case {
   std::vector<std::string> arguments;
   int exit_code;
-  // Must stand in what is printed.
+  // Must be part of the output.
   std::string expected_output;
 };
 
-// A script that publishes must tell a mistyped flag from a failed publish; with
-// the same exit code for both it would try again for ever.
+// A script must distinguish a mistyped flag from a failed publish; with the
+// same exit code for both it would retry forever.
 Test(teaselctl, bad_arguments_end_with_the_code_for_usage) {
   const std::vector<Case> rows = {
       {{}, 2, "exactly one command"},
@@ -54,8 +54,8 @@
   }
 }
 
-// A new operator has the help alone: it must name every command and every exit
-// code.
+// The help must list every command and every exit code, as a new operator may
+// have no other source.
 Test(teaselctl, help_lists_commands_and_exit_codes) {
   Program ctl("teaselctl", {"--help"});
   (void)ctl.WaitExit();
@@ -65,8 +65,8 @@
     cr_expect(ctl.Output().find(part) != std::string::npos, "%s", part);
 }
 
-// One proxy stands still while the others took the new version. In a list of
-// hundreds the operator finds it by the mark only.
+// One proxy is stopped while the others apply the new version. In a list of
+// hundreds the operator finds it only by its mark.
 Test(teaselctl, status_marks_nodes_behind_and_watch_waits_for_them) {
   Fleet fleet("test");
   for (int i = 0; i < 3; ++i)
@@ -77,7 +77,7 @@
       "  registry-desk: {version: v1}\n";
   cr_assert(fleet.Publish(fleet.WriteConfig(base)).exit_code == 0);
   cr_assert(WaitUntil([&] { return fleet.AllHold(1); }, kPatience));
-  // What the others hold comes with their next messages.
+  // The versions of the other nodes arrive with their next messages.
   cr_assert(WaitUntil([&] {
     return fleet.Ctl("status").output.find("behind") == std::string::npos;
   }));
--- a/tests/unit/operator_test.cc
+++ b/tests/unit/operator_test.cc
@@ -36,8 +36,8 @@
   return std::move(*document);
 }
 
-// A rendered file that lost a field, or whose version 1.10 came back as the
-// number 1.1, would show the operator another configuration than the one in
+// Rendering that drops a field, or writes version 1.10 without quotes so that
+// it is read back as 1.1, would show another configuration than the one in
 // force.
 Test(operator_output, rendered_yaml_is_a_base_file_with_the_same_content) {
   const auto first = Render(Load(kBase), "bole", 7);
@@ -99,9 +99,9 @@
   cr_assert(text.find("version 8 of publish theirs") != std::string::npos);
 }
 
-// Two operators change copies of the same files. The second publishes after the
-// first and takes the new head as its parent: the log sees no conflict, and the
-// first operator's change is gone.
+// Two operators change copies of the same files. The second publish takes the
+// first one's version as its parent, so the log detects no conflict and the
+// first change is lost.
 Test(operator_output, files_made_from_an_old_version_are_a_conflict) {
   FoldState state;
   const Document document = Load(kBase);
--- a/tools/teaselctl.cc
+++ b/tools/teaselctl.cc
@@ -1,4 +1,4 @@
-// The operators' command line.
+// The command line tool of the operators.
 #include <chrono>
 #include <cstdint>
 #include <iostream>
@@ -88,13 +88,13 @@
 
 namespace {
 
-// The parser's own flags, which it doesn't list as such.
+// The help and version flags of the parser, which it handles itself.
 bool IsHelpFlag(const std::string& name) {
   return name.rfind("help", 0) == 0 || name == "version";
 }
 
-// What is wrong with the flags; "" if nothing. The parser ends the program with
-// 1 on a bad flag, which for a script means "failed" and not "mistyped".
+// Describes the first invalid flag; "" if all are valid. The parser would exit
+// with 1 on an invalid flag, which scripts take for kFailed, not for kUsage.
 std::string FlagError(int argc, char** argv) {
   for (int i = 1; i < argc; ++i) {
     std::string_view argument = argv[i];
@@ -120,7 +120,7 @@
       return "bad value of --" + name;
     const std::string value(has_value ? argument.substr(equals + 1)
                                       : argv[++i]);
-    // The parser takes it again, to the same effect.
+    // ParseCommandLine sets the flag again, to the same value.
     if (std::string error; !flag->ParseFrom(value, &error))
       return error;
   }
--- a/tools/teaselnode.cc
+++ b/tools/teaselnode.cc
@@ -1,5 +1,5 @@
 // The node beside one upstream: gatekeeper of that upstream and entry for
-// callers. All it does is in the library; this file reads settings and runs it.
+// callers. Reads the settings, starts logging and runs the library's node.
 #include <iostream>
 #include <string>
 
