--- a/src/edge/stream_watch.h
+++ b/src/edge/stream_watch.h
@@ -41,8 +41,8 @@
   // role says so. Call it once.
   void Start() { this->Attempt(); }
 
-  // A reader keeps reading; a node in the role kTold stops after the read in
-  // flight.
+  // A reader keeps reading; a node in the role kNonReader stops after the
+  // read in flight.
   void SetRole(ReaderRole new_role);
 
   // Whether the last call had a response in time.
--- a/src/node/claims_messages.h
+++ b/src/node/claims_messages.h
@@ -12,8 +12,8 @@
 
 namespace teaselspread {
 
-// A SealAsk with the process that it is meant for: another process at the same
-// address must not answer in its place.
+// A HandoverRequest with the process that it is meant for: another process at
+// the same address must not respond in its place.
 struct SealRequest {
   HandoverRequest ask;
   std::string asked_id;
--- a/src/node/epoch_reader.h
+++ b/src/node/epoch_reader.h
@@ -11,8 +11,8 @@
 namespace teaselspread {
 
 // A reader that misses one epoch would confirm the one before as the newest,
-// and two majorities could grant one key. So `log.known` is true only if every
-// record since a sure beginning has been read. Not thread safe.
+// and two majorities could grant one key. So `log.has_base` is true only if
+// every record since a sure beginning has been read. Not thread safe.
 struct EpochReader {
   EpochLog log;
   // Last record of the platform's log that `log` takes into account.
