--- a/include/teaselspread/edge.h
+++ b/include/teaselspread/edge.h
@@ -57,7 +57,7 @@
   Duration stop_grace = std::chrono::seconds(6);
   // Upper bound on retries to upstreams, over all nodes: a fraction of the
   // service's requests, plus a number that is always allowed.
-  double retry_share = 0.2;
+  double retry_ratio = 0.2;
   double retry_slack = 50;
   // How an upstream is chosen for a request. `crossing_cost` should reflect the
   // network: near 0 where traffic between data centres is free.
--- a/include/teaselspread/order_readers.h
+++ b/include/teaselspread/order_readers.h
@@ -34,15 +34,15 @@
 struct ReaderPeer {
   std::string_view node;
   // Its last call to the store failed, or it is about to stop.
-  bool store_lost = false;
+  bool store_unavailable = false;
   // Its bandwidth in Mbit/s; 0 when unknown.
   std::uint32_t line_mbit = 0;
 };
 
 // Of the nodes that may reach the store the two with the most bandwidth read,
 // the first by name among equals: a reader receives each change whole and
-// forwards it. A node that lost the store is not counted by the others, and
-// keeps trying while it would be a reader itself. Thread safe.
+// forwards it. A node without access to the store is not counted by the
+// others, and keeps trying while it would be a reader itself. Thread safe.
 [[nodiscard]] ReaderRole RoleOf(const ReaderPeer& self,
                                 std::span<const ReaderPeer> peers);
 
--- a/include/teaselspread/spread.h
+++ b/include/teaselspread/spread.h
@@ -137,7 +137,7 @@
   ConfigVersion version = 0;
   TimePoint started;
   TimePoint due;
-  std::size_t witnesses_asked = 0;
+  std::size_t witnesses_queried = 0;
   std::set<std::string> acks;
 };
 
--- a/src/edge/edge_node.cc
+++ b/src/edge/edge_node.cc
@@ -32,7 +32,7 @@
 
 EntrySettings EntrySettingsOf(const EdgeSettings& settings) {
   return {settings.vm,          settings.data_center, settings.service,
-          settings.retry_share, settings.retry_slack, settings.placement};
+          settings.retry_ratio, settings.retry_slack, settings.placement};
 }
 
 LeaseSettings LeaseSettingsOf(const EdgeSettings& settings) {
@@ -74,7 +74,7 @@
 }
 
 void ApplyPeerNotes(EdgeNode& node, const Peer& peer) {
-  node.versions.OnPeerStatuses(peer.node, peer.status.moves);
+  node.versions.OnPeerStatuses(peer.node, peer.status.trial_statuses);
   if (!peer.status.suspects.empty())
     node.gate.MergeSuspectNotes(peer.status.suspects);
   ReplacePeerShortage(node.entry.shortage, peer.node, peer.status.shortages,
@@ -88,7 +88,7 @@
       nodes.begin(), nodes.end(),
       [&node](const std::string& name) { return name < node.settings.vm; });
   node.reporter.Step(static_cast<std::size_t>(rank));
-  node.trial_notes = node.versions.Statuses();
+  node.trial_statuses = node.versions.Statuses();
   SendStatus(node);
 }
 
@@ -122,12 +122,12 @@
 }
 
 void OnRemoteCallerGone(EdgeNode& node, FrameSocket* from) {
-  std::vector<std::uint64_t> gone;
+  std::vector<std::uint64_t> run_ids;
   for (const auto& [id, run] : node.remote_runs) {
     if (run.from == from)
-      gone.push_back(id);
+      run_ids.push_back(id);
   }
-  for (const std::uint64_t id : gone) {
+  for (const std::uint64_t id : run_ids) {
     node.remote_runs.erase(id);
     node.gate.Cancel(id);
   }
@@ -215,17 +215,17 @@
     SendResponse(*exchange, node.adapter.acknowledge());
     return;
   }
-  const auto& report = std::get<UpstreamHeartbeat>(*call);
-  const HeartbeatResult verdict = node.gate.OnHeartbeat(report);
-  node.heartbeats.Add(verdict);
-  if (verdict != HeartbeatResult::kAccepted) {
+  const auto& heartbeat = std::get<UpstreamHeartbeat>(*call);
+  const HeartbeatResult result = node.gate.OnHeartbeat(heartbeat);
+  node.heartbeats.Add(result);
+  if (result != HeartbeatResult::kAccepted) {
     Log(LogLevel::kWarning, "admin", "heartbeat-not-taken",
-        {{"instance", report.instance},
-         {"verdict", NameOf(verdict)},
-         {"sequence", report.sequence},
-         {"born_ms", report.born_ms}});
+        {{"instance", heartbeat.instance},
+         {"verdict", NameOf(result)},
+         {"sequence", heartbeat.sequence},
+         {"born_ms", heartbeat.born_ms}});
   }
-  if (verdict == HeartbeatResult::kStale) {
+  if (result == HeartbeatResult::kStale) {
     SendResponse(*exchange,
                  ErrorResponse(Error{ErrorKind::kStaleVersion,
                                      "a later heartbeat was taken"}));
@@ -375,10 +375,10 @@
     return listening;
   node.gate.SetUpstreamAddress(node.settings.upstream);
   const std::string& vm = node.settings.vm;
-  const auto life =
+  const auto incarnation =
       static_cast<std::uint64_t>(SystemNow().time_since_epoch().count());
-  node.versions.SetIncarnation(life);
-  node.gate.SetOrigin(XXH3_64bits_withSeed(vm.data(), vm.size(), life));
+  node.versions.SetIncarnation(incarnation);
+  node.gate.SetOrigin(XXH3_64bits_withSeed(vm.data(), vm.size(), incarnation));
   // The change may have revealed the upstream's version. Until VersionChoice
   // knows it too, the upstream fits no request.
   node.gate.on_status_change = [&node] {
@@ -454,7 +454,7 @@
   const SnapshotPtr& held = node.entry.CurrentSnapshot();
   status.held_version = held ? held->version : 0;
   status.store_unavailable = node.stopping || !node.orders.StoreReachable();
-  status.moves = node.trial_notes;
+  status.trial_statuses = node.trial_statuses;
   status.suspects = node.gate.SuspectNotes();
   status.shortages = ShortageReportsOf(node.entry.shortage, SteadyNow());
   status.calls = CallReportsOf(node.entry.shortage);
--- a/src/edge/edge_node.h
+++ b/src/edge/edge_node.h
@@ -58,7 +58,7 @@
   std::uint64_t last_remote_run = 0;
   ConfigExchange config_exchange;
   // Sent to the other nodes with the status; refreshed at each tick.
-  std::vector<TrialStatus> trial_notes;
+  std::vector<TrialStatus> trial_statuses;
   bool intake_closed = false;
   bool stopping = false;
   TimePoint stop_began;
--- a/src/edge/entry.cc
+++ b/src/edge/entry.cc
@@ -43,10 +43,10 @@
 }
 
 // Rank of a candidate, lower is better; only those of the best rank are used. A
-// spare version or a link in doubt is still better than a refusal.
-int RankOf(VersionFit fit, bool in_doubt) {
+// spare version or an unresponsive link is still better than a refusal.
+int RankOf(VersionFit fit, bool unresponsive) {
   const int spare = fit == VersionFit::kFallback ? 1 : 0;
-  return spare + (in_doubt ? 2 : 0);
+  return spare + (unresponsive ? 2 : 0);
 }
 
 }  // namespace
@@ -174,7 +174,7 @@
   // it, with a margin for bursts that span two measurement windows.
   constexpr double kMargin = 0.7;
   const double nodes = static_cast<double>(this->links.Peers().size()) + 1;
-  budget.settings.retry_ratio = this->settings.retry_share * kMargin;
+  budget.settings.retry_ratio = this->settings.retry_ratio * kMargin;
   budget.settings.burst =
       std::max(1.0, this->settings.retry_slack * kMargin / nodes);
   if (added)
@@ -204,7 +204,7 @@
   };
   // Whether the node may be added; clears candidates of a worse rank.
   const auto fits = [&](std::string_view node, const GateStatus& status,
-                        bool in_doubt) {
+                        bool unresponsive) {
     if (status.state != LeaseState::kReady || status.service != pending.service)
       return false;
     const VersionFit fit =
@@ -212,7 +212,7 @@
     pending.other_versions += fit == VersionFit::kNone ? 1 : 0;
     const bool tried = std::find(pending.tried.begin(), pending.tried.end(),
                                  node) != pending.tried.end();
-    const int rank = RankOf(fit, in_doubt);
+    const int rank = RankOf(fit, unresponsive);
     if (fit == VersionFit::kNone || tried || rank > best)
       return false;
     if (rank < best)
@@ -468,12 +468,12 @@
 }
 
 void Entry::OnLinkLost(const std::string& node) {
-  std::vector<std::uint64_t> lost;
+  std::vector<std::uint64_t> request_ids;
   for (const auto& [id, pending] : this->pending_requests) {
     if (pending.in_flight && !pending.at_own_gate && pending.node == node)
-      lost.push_back(id);
+      request_ids.push_back(id);
   }
-  for (const std::uint64_t id : lost) {
+  for (const std::uint64_t id : request_ids) {
     ResultFrame result;
     result.call_id = id;
     result.error = ErrorKind::kPeerUnreachable;
--- a/src/edge/entry.h
+++ b/src/edge/entry.h
@@ -101,7 +101,7 @@
   std::string vm;
   std::string data_center;
   std::string service;
-  double retry_share = 0.2;
+  double retry_ratio = 0.2;
   double retry_slack = 50;
   PlacementSettings placement;
 };
--- a/src/edge/entry_answers.cc
+++ b/src/edge/entry_answers.cc
@@ -119,13 +119,13 @@
   const Peer* peer = this->links.Find(pending.node);
   const GateStatus own = this->gate.Status();
   const GateStatus& seen = peer == nullptr ? own : peer->status;
-  TrialResponse trial_answer;
-  trial_answer.instance = seen.instance;
-  trial_answer.route = pending.route->name;
-  trial_answer.bad = failed;
-  trial_answer.timed = seen.warm_up_ms == 0;
-  trial_answer.latency = run_time;
-  this->versions.OnResponse(pending.service, pending.version, trial_answer);
+  TrialResponse trial_response;
+  trial_response.instance = seen.instance;
+  trial_response.route = pending.route->name;
+  trial_response.bad = failed;
+  trial_response.timed = seen.warm_up_ms == 0;
+  trial_response.latency = run_time;
+  this->versions.OnResponse(pending.service, pending.version, trial_response);
 }
 
 void Entry::RecordOutcome(const std::string& node, bool failed) {
--- a/src/edge/frames.cc
+++ b/src/edge/frames.cc
@@ -69,7 +69,7 @@
   if (Has(value, StatusPart::kTimes))
     codec(status.mean_ms, status.route_times);
   if (Has(value, StatusPart::kMoves))
-    codec(status.moves);
+    codec(status.trial_statuses);
   if (Has(value, StatusPart::kSuspects))
     codec(status.suspects);
   if (Has(value, StatusPart::kDemand))
@@ -154,7 +154,7 @@
                              std::tie(b.running, b.waiting, b.queued_ms));
   add(StatusPart::kTimes,
       std::tie(a.mean_ms, a.route_times) != std::tie(b.mean_ms, b.route_times));
-  add(StatusPart::kMoves, a.moves != b.moves);
+  add(StatusPart::kMoves, a.trial_statuses != b.trial_statuses);
   add(StatusPart::kSuspects, a.suspects != b.suspects);
   add(StatusPart::kDemand,
       std::tie(a.shortages, a.calls) != std::tie(b.shortages, b.calls));
@@ -183,7 +183,7 @@
     known.route_times = std::move(old.route_times);
   }
   if (!Has(frame, StatusPart::kMoves))
-    known.moves = std::move(old.moves);
+    known.trial_statuses = std::move(old.trial_statuses);
   if (!Has(frame, StatusPart::kSuspects))
     known.suspects = std::move(old.suspects);
   if (!Has(frame, StatusPart::kDemand)) {
--- a/src/edge/frames.h
+++ b/src/edge/frames.h
@@ -54,8 +54,8 @@
   // The node's last call to the store failed, or the node is about to stop: it
   // does not count as a reader of the operators' stream.
   bool store_unavailable = false;
-  // This node's notes of moves.
-  std::vector<TrialStatus> moves;
+  // State of each move at this node.
+  std::vector<TrialStatus> trial_statuses;
   std::vector<SuspectNote> suspects;
   // Services that refused requests of this node for lack of capacity, and the
   // services that the requests of a route call while they run.
--- a/src/edge/gate.cc
+++ b/src/edge/gate.cc
@@ -250,14 +250,14 @@
 void Gate::Finish(std::uint64_t id, bool counts, const ResultFrame& result) {
   const auto found = this->runs.find(id);
   const TimePoint now = SteadyNow();
-  const Duration took = now - found->second.started;
+  const Duration run_time = now - found->second.started;
   const ResultHandler done = std::move(found->second.done);
   const HttpHeaders& headers = found->second.frame.request.headers;
   this->running_routes.erase(
       std::string(FindHeader(headers, kHeaderRequestId)));
   this->runs.erase(found);
-  const GateActions actions =
-      teaselspread::Finish(this->gatekeeper, id, took, counts, now, this->rng);
+  const GateActions actions = teaselspread::Finish(
+      this->gatekeeper, id, run_time, counts, now, this->rng);
   if (done)
     done(result);
   this->Apply(actions);
@@ -317,7 +317,7 @@
 }
 
 // The version and start time of the process stay unknown until its heartbeat,
-// which replaces this report whatever its sequence number.
+// which replaces this one whatever its sequence number.
 void Gate::OnProbeResponse(const std::string& service,
                            const HttpResponse& response) {
   constexpr int kOk = 200;
@@ -335,19 +335,19 @@
        {"slots", knows_slots ? slots : 0}});
   if (response.status != kOk || instance.empty() || !knows_slots || slots < 1)
     return;
-  UpstreamHeartbeat report;
-  report.instance = std::string(instance);
-  report.service = service;
-  report.slots = slots;
-  (void)this->OnHeartbeat(report);
+  UpstreamHeartbeat heartbeat;
+  heartbeat.instance = std::string(instance);
+  heartbeat.service = service;
+  heartbeat.slots = slots;
+  (void)this->OnHeartbeat(heartbeat);
 }
 
-HeartbeatResult Gate::OnHeartbeat(const UpstreamHeartbeat& report) {
-  const HeartbeatResult verdict =
-      ApplyHeartbeat(this->lease, report, SteadyNow());
+HeartbeatResult Gate::OnHeartbeat(const UpstreamHeartbeat& heartbeat) {
+  const HeartbeatResult result =
+      ApplyHeartbeat(this->lease, heartbeat, SteadyNow());
   this->ApplyLease();
   this->on_status_change();
-  return verdict;
+  return result;
 }
 
 bool Gate::OnUpstreamLeaving(const LeaveCall& call) {
--- a/src/edge/gate.h
+++ b/src/edge/gate.h
@@ -75,7 +75,7 @@
   void Probe(const std::string& health_path, const std::string& service);
 
   // Receives a heartbeat; it has taken effect when this returns.
-  [[nodiscard]] HeartbeatResult OnHeartbeat(const UpstreamHeartbeat& report);
+  [[nodiscard]] HeartbeatResult OnHeartbeat(const UpstreamHeartbeat& heartbeat);
   // False when the process does not hold the lease.
   bool OnUpstreamLeaving(const LeaveCall& call);
 
--- a/src/spread/record.cc
+++ b/src/spread/record.cc
@@ -10,18 +10,18 @@
   const auto live = static_cast<std::size_t>(
       std::count_if(state.peers.begin(), state.peers.end(),
                     [](const auto& row) { return IsLive(row.second); }));
-  const std::size_t asked = std::min(state.settings.witnesses, live);
-  return asked == 0 ? 0 : asked / 2 + 1;
+  const std::size_t queried = std::min(state.settings.witnesses, live);
+  return queried == 0 ? 0 : queried / 2 + 1;
 }
 
 // Reports to the highest ranked witnesses first and, with each retry, to as
 // many more: the first ones may just have died.
 void NotifyWitnesses(Call& call, Recording& recording) {
   SpreadState& state = call.state;
-  recording.witnesses_asked += state.settings.witnesses;
+  recording.witnesses_queried += state.settings.witnesses;
   recording.due = call.now + state.settings.record_retry;
   for (const SpreadPeer* peer :
-       RankedWitnesses(state, recording.witnesses_asked, false)) {
+       RankedWitnesses(state, recording.witnesses_queried, false)) {
     if (!recording.acks.contains(peer->id))
       Send(call, peer->control,
            RecordHeld{SenderOf(state, call.now), recording.version});
--- a/src/store/order_readers.cc
+++ b/src/store/order_readers.cc
@@ -28,7 +28,7 @@
   };
   const auto higher_ranked =
       std::count_if(peers.begin(), peers.end(), [&](const ReaderPeer& peer) {
-        return !peer.store_lost && ranks_higher(peer);
+        return !peer.store_unavailable && ranks_higher(peer);
       });
   if (higher_ranked == 0)
     return ReaderRole::kFirst;
--- a/tests/contract/platform_test.cc
+++ b/tests/contract/platform_test.cc
@@ -222,7 +222,7 @@
       R"("graceS=4","retryBudgetRatio=0.3", budgetSlack=11,new=7,odd)";
   ApplyAgreed(settings);
   cr_assert(settings.stop_grace == std::chrono::seconds(4));
-  cr_assert(settings.retry_share == 0.3);
+  cr_assert(settings.retry_ratio == 0.3);
   cr_assert(settings.retry_slack == 11);
 }
 
--- a/tests/unit/status_parts_test.cc
+++ b/tests/unit/status_parts_test.cc
@@ -47,7 +47,7 @@
   after.held_version = 8;
   after.waiting = 2;
   after.route_times[0].mean_ms = 900;
-  after.moves = {{}};
+  after.trial_statuses = {{}};
   after.suspects = {{}};
   after.shortages = {{}};
   const std::uint8_t parts = ChangedParts(before, after);
