--- a/tests/unit/order_readers_test.cc
+++ b/tests/unit/order_readers_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // Number of readers among the nodes `names`, which all have links to each
-// other, without those in `cut_off`, which reported that they lost the store.
+// other, without those in `cut_off`, which reported a failed call to the store.
 int CountReaders(const std::vector<std::string>& names,
                  const std::vector<std::string>& cut_off) {
   const auto is_lost = [&](const std::string& name) {
