--- a/include/teaselspread/backoff.h
+++ b/include/teaselspread/backoff.h
@@ -1,4 +1,4 @@
-// Waits between attempts that grow and are spread at random.
+// Exponential backoff with jitter between attempts.
 #ifndef TEASELSPREAD_BACKOFF_H_
 #define TEASELSPREAD_BACKOFF_H_
 
@@ -15,13 +15,13 @@
   int failures = 0;
 };
 
-// Counts a failure and returns the wait before the next attempt: uniform
-// between `base` and base * 2^failures, at most `cap`. A herd that lost the
-// same peer at one moment would otherwise come back at one moment, again and
-// again. Precondition: 0 < base <= cap. Not thread safe.
+// Counts a failure and returns the delay before the next attempt: uniform
+// between `base` and base * 2^failures, at most `cap`. Without the jitter,
+// clients that lost the same peer at one moment would keep retrying at the same
+// moments. Precondition: 0 < base <= cap. Not thread safe.
 [[nodiscard]] Duration NextDelay(Backoff& backoff, Rng& rng);
 
-// After a success. Not thread safe.
+// To be called after a success. Not thread safe.
 inline void Reset(Backoff& backoff) {
   backoff.failures = 0;
 }
--- a/include/teaselspread/connections.h
+++ b/include/teaselspread/connections.h
@@ -1,8 +1,8 @@
-// Which open connection to a target may be used again.
+// Decides which open connection to a target may be reused.
 //
-// Something between two ends may lose track of a connection: it stays open and
-// says nothing, while new ones work. These are the decisions; the sockets are
-// the caller's.
+// A middlebox may drop the state of a connection: it stays open but transfers
+// no bytes, while new connections work. Only the decisions are made here; the
+// caller owns the sockets.
 #ifndef TEASELSPREAD_CONNECTIONS_H_
 #define TEASELSPREAD_CONNECTIONS_H_
 
@@ -17,7 +17,7 @@
 
 // How one use of a connection ended.
 enum class ConnectionEnd : std::uint8_t {
-  kWhole,
+  kComplete,
   kTimeout,
   kCancelled,
   kShortBody,
@@ -30,11 +30,11 @@
 [[nodiscard]] std::string_view NameOf(ConnectionEnd end);
 
 struct ConnectionSettings {
-  // Connections to one target, in use and idle.
+  // Maximum number of connections to one target, in use and idle.
   int most = 128;
-  // Idle ones older than this are closed, not used.
-  Duration longest_idle = std::chrono::seconds(30);
-  // Longest stretch without a byte in use.
+  // Connections idle for longer than this are closed instead of reused.
+  Duration max_idle_time = std::chrono::seconds(30);
+  // Maximum time without a received byte while in use.
   Duration silence = std::chrono::seconds(5);
 };
 
@@ -50,39 +50,40 @@
   ConnectionSettings settings;
   std::vector<Connection> connections;
   std::uint64_t next_id = 1;
-  // Idle connections opened or last heard at or before this are not trusted.
-  TimePoint distrust_until;
+  // Idle connections whose last byte came at or before this are not reused.
+  TimePoint stale_until;
 };
 
 enum class AcquireKind : std::uint8_t { kReuse, kOpen, kLimit };
 
-struct Acquired {
+struct AcquireResult {
   AcquireKind kind = AcquireKind::kLimit;
   // The connection to use, or the id of the one to open.
   std::uint64_t id = 0;
-  // Close these first; they were dropped from the pool.
+  // Connections to close first; they were removed from the pool.
   std::vector<std::uint64_t> close;
 };
 
-// A connection for one request: an idle one that was heard of lately, else a
-// new one, else kLimit. Not thread safe.
-[[nodiscard]] Acquired Acquire(ConnectionPool& pool, TimePoint now);
+// A connection for one request: the idle one with the latest byte that is not
+// stale, else a new one, else kLimit. Not thread safe.
+[[nodiscard]] AcquireResult Acquire(ConnectionPool& pool, TimePoint now);
 
-// A byte came in on `id`. Not thread safe.
+// Records that a byte was received on `id`. Not thread safe.
 void OnByte(ConnectionPool& pool, std::uint64_t id, TimePoint now);
 
-// The use of `id` has ended. Returns the connections to close: `id` itself
-// unless the answer was whole, and after a silence the idle ones that were last
-// heard before the silent one went quiet. Not thread safe.
+// Ends the use of `id`. Returns the connections to close: `id` itself unless
+// the response was complete, and after kSilent also the idle ones whose last
+// byte came no later than that of `id`. Not thread safe.
 [[nodiscard]] std::vector<std::uint64_t> Release(ConnectionPool& pool,
                                                  std::uint64_t id,
                                                  ConnectionEnd end,
                                                  TimePoint now);
 
-// Connections in use without a byte for the allowed time. Release them as
-// kSilent. Not thread safe.
-[[nodiscard]] std::vector<std::uint64_t> SilentOnes(const ConnectionPool& pool,
-                                                    TimePoint now);
+// Connections in use without a byte for longer than the `silence` setting. The
+// caller releases them as kSilent. Not thread safe.
+[[nodiscard]] std::vector<std::uint64_t> SilentConnections(
+    const ConnectionPool& pool,
+    TimePoint now);
 
 }  // namespace teaselspread
 
--- a/include/teaselspread/kernel.h
+++ b/include/teaselspread/kernel.h
@@ -1,5 +1,5 @@
-// The micro-kernel: services registered by name, typed messages between them,
-// a timer queue, and counters of what could not be delivered.
+// In-process message dispatcher: services registered by name, typed messages
+// between them, a timer queue, and counters of undeliverable messages.
 #ifndef TEASELSPREAD_KERNEL_H_
 #define TEASELSPREAD_KERNEL_H_
 
@@ -23,9 +23,9 @@
 enum class KernelEvent : std::uint8_t {
   kDelivered,
   kTimerFired,
-  // A message to a name that nobody registered: a wiring fault.
+  // A message to a service name that is not registered: a wiring error.
   kUnknownService,
-  // A message of a type that the named service does not take.
+  // A message of a type for which the service has no handler.
   kUnknownMessage,
   kCount,
 };
@@ -33,11 +33,11 @@
 // Stable name of a kernel counter. Thread safe.
 [[nodiscard]] std::string_view NameOf(KernelEvent event);
 
-// Not thread safe: everything but Counters() belongs to the one thread that
-// calls Advance(). Other threads hand work over through that thread's loop.
+// Not thread safe: only the thread that calls Advance() may use it, except for
+// Counters(). Other threads submit work through that thread's event loop.
 class Kernel {
  public:
-  // Makes `handler` the receiver of messages of type M for `service`. A second
+  // Registers `handler` for messages of type M to `service`. A second
   // registration of the same pair replaces the first.
   template <class M>
   void Register(std::string_view service,
@@ -49,29 +49,29 @@
         std::type_index(typeid(M)), std::move(erased));
   }
 
-  // Queues `message`; it is delivered by the next Advance(), in order.
+  // Queues `message`; the next Advance() delivers queued messages in order.
   template <class M>
   void Post(std::string_view service, M message) {
     this->queue.push_back(
         Envelope{std::string(service), std::any(std::move(message))});
   }
 
-  // Queues `message` for delivery at `when`. Timers of the same instant fire
-  // in the order in which they were set.
+  // Queues `message` for delivery at `when`. Timers with the same
+  // due time fire in the order in which they were set.
   template <class M>
   void PostAt(TimePoint when, std::string_view service, M message) {
     this->timers.emplace(
         when, Envelope{std::string(service), std::any(std::move(message))});
   }
 
-  // Sets the time, fires what is due and delivers until the queue is empty.
-  // Time never goes back: an earlier `to` delivers, but keeps the clock.
+  // Sets the time, fires due timers and delivers until the queue is empty.
+  // Time is monotonic: an earlier `to` still delivers, but keeps the time.
   void Advance(TimePoint to);
 
-  // Time of the last Advance().
+  // The latest time passed to Advance().
   [[nodiscard]] TimePoint Now() const { return this->now; }
 
-  // When the next timer is due; none when no timer is set.
+  // Due time of the next timer; none when no timer is set.
   [[nodiscard]] std::optional<TimePoint> NextWake() const;
 
   // Thread safe.
--- a/include/teaselspread/log_client.h
+++ b/include/teaselspread/log_client.h
@@ -1,4 +1,4 @@
-// The client of the platform's append-only log.
+// Client of the platform's append-only log.
 #ifndef TEASELSPREAD_LOG_CLIENT_H_
 #define TEASELSPREAD_LOG_CLIENT_H_
 
@@ -16,11 +16,11 @@
 
 struct LogClientOptions {
   Address log;
-  // Name of the VM and its data centre: the log's metrics show them.
+  // Names of the VM and its data centre, shown in the log's metrics.
   std::string vm;
   std::string data_center;
   Duration connect_timeout = std::chrono::seconds(1);
-  // For an append, and for a read beyond the wait that it asks for.
+  // Of an append; of a read, in addition to the wait that it requests.
   Duration timeout = std::chrono::seconds(3);
   std::size_t max_batch_bytes = 64U << 20;
 };
@@ -33,11 +33,11 @@
 };
 
 struct ReadBatch {
-  // In the order of their offsets; empty when none came within the wait.
+  // In offset order; empty when none was appended within the wait.
   std::vector<StoredRecord> records;
-  // Offset of the oldest record that the log still keeps.
+  // Offset of the oldest record that the log still holds.
   std::uint64_t first_kept = 1;
-  // Offset that the next append will get.
+  // Offset of the next record to be appended.
   std::uint64_t next = 1;
 };
 
@@ -50,22 +50,22 @@
 
 using ReadResult = tl::expected<ReadBatch, LogReadError>;
 
-// Thread safe: calls of several threads use connections of their own.
+// Thread safe: concurrent calls use separate connections.
 class LogClient {
  public:
   explicit LogClient(LogClientOptions settings);
 
   // Appends one record and returns its offset. Precondition: `stream` has only
-  // characters that need no escape in a path. Errors:
-  //   kLogUnavailable: surely not taken;
-  //   kAppendUnknown: the answer was lost, and the record may have been taken.
+  // characters that need no escaping in a path. Errors:
+  //   kLogUnavailable: the record was certainly not stored;
+  //   kAppendUnknown: no valid response; the record may have been stored.
   // Thread safe; blocks up to the timeout.
   [[nodiscard]] Result<std::uint64_t> Append(const std::string& stream,
                                              const std::string& bytes);
 
   // Reads at most `max` records with offsets from `from` on, and waits up to
   // `wait` for the first. Errors: kLogExpired with the first kept offset,
-  // kLogUnavailable, kFrameMalformed when the answer makes no sense.
+  // kLogUnavailable, kFrameMalformed when the response is malformed.
   // Thread safe; blocks up to `wait` plus the timeout.
   [[nodiscard]] ReadResult Read(const std::string& stream,
                                 std::uint64_t from,
--- a/include/teaselspread/logging.h
+++ b/include/teaselspread/logging.h
@@ -1,5 +1,5 @@
-// Structured log lines: time, level, VM, data centre, service, event, and
-// key=value fields, one event a line.
+// Structured logging, one event per line: time, level, VM, data centre,
+// service, event, and key=value fields.
 #ifndef TEASELSPREAD_LOGGING_H_
 #define TEASELSPREAD_LOGGING_H_
 
@@ -14,8 +14,8 @@
 
 enum class LogLevel : std::uint8_t { kDebug, kInfo, kWarning, kError, kCount };
 
-// One field of a line; numbers are written as they are, text is quoted where
-// it holds blanks, quotes or control characters.
+// One field of a line. Numbers are never quoted; text is if it is empty or has
+// blanks, quotes, '=', control or non-ASCII characters.
 struct LogField {
   LogField(std::string_view name, std::string_view text)
       : key(name), value(text) {}
@@ -28,7 +28,7 @@
   std::string value;
 };
 
-// Who writes: stands in every line of this process.
+// Origin of the log lines, written to each line of this process.
 struct LogIdentity {
   std::string vm;
   std::string data_center;
@@ -40,11 +40,11 @@
                   LogLevel level,
                   const std::string& file);
 
-// Takes whole lines, without their line end.
+// Receives complete lines, without the line terminator.
 using LogSink = std::function<void(std::string_view line)>;
 
-// The same with a sink in place of a file. The sink is called from the threads
-// that log; an empty one ends logging.
+// The same with a sink instead of a file. The sink is called on the threads
+// that log; an empty one disables the sink.
 void StartLogging(const LogIdentity& identity, LogLevel level, LogSink sink);
 
 // Writes one line; without StartLogging() it does nothing. Thread safe.
--- a/src/connections/connections.cc
+++ b/src/connections/connections.cc
@@ -9,24 +9,24 @@
 constexpr std::array<std::string_view, 6> kNames = {
     "whole", "timeout", "cancelled", "short-body", "silent", "error"};
 
-// What cut a silent connection (a restarted firewall, say) cut every other one
-// that existed then. Only a byte heard after that moment shows that it lives.
-bool IsTrusted(const ConnectionPool& pool,
-               const Connection& connection,
-               TimePoint now) {
-  if (connection.last_byte <= pool.distrust_until)
+// The cause of a silent connection, such as a restarted firewall, affects every
+// connection of that time. Only a later byte shows that one still works.
+bool IsFresh(const ConnectionPool& pool,
+             const Connection& connection,
+             TimePoint now) {
+  if (connection.last_byte <= pool.stale_until)
     return false;
-  return now - connection.last_byte <= pool.settings.longest_idle;
+  return now - connection.last_byte <= pool.settings.max_idle_time;
 }
 
-std::vector<std::uint64_t> DropUntrusted(ConnectionPool& pool, TimePoint now) {
+std::vector<std::uint64_t> RemoveStale(ConnectionPool& pool, TimePoint now) {
   std::vector<std::uint64_t> dropped;
   for (const Connection& connection : pool.connections) {
-    if (!connection.in_use && !IsTrusted(pool, connection, now))
+    if (!connection.in_use && !IsFresh(pool, connection, now))
       dropped.push_back(connection.id);
   }
   std::erase_if(pool.connections, [&](const Connection& connection) {
-    return !connection.in_use && !IsTrusted(pool, connection, now);
+    return !connection.in_use && !IsFresh(pool, connection, now);
   });
   return dropped;
 }
@@ -44,9 +44,9 @@
   return kNames.at(static_cast<std::size_t>(end));
 }
 
-Acquired Acquire(ConnectionPool& pool, TimePoint now) {
-  Acquired acquired;
-  acquired.close = DropUntrusted(pool, now);
+AcquireResult Acquire(ConnectionPool& pool, TimePoint now) {
+  AcquireResult acquired;
+  acquired.close = RemoveStale(pool, now);
   Connection* latest = nullptr;
   for (Connection& connection : pool.connections) {
     if (connection.in_use)
@@ -56,7 +56,7 @@
   }
   if (latest != nullptr) {
     latest->in_use = true;
-    // The time without a byte counts from the request, not from the last use.
+    // The silence is measured from this request, not from the last use.
     latest->last_byte = now;
     acquired.kind = AcquireKind::kReuse;
     acquired.id = latest->id;
@@ -83,25 +83,25 @@
   Connection* connection = Find(pool, id);
   if (connection == nullptr)
     return {};
-  if (end == ConnectionEnd::kWhole) {
+  if (end == ConnectionEnd::kComplete) {
     connection->in_use = false;
     connection->last_byte = now;
     return {};
   }
-  const TimePoint quiet_since = connection->last_byte;
+  const TimePoint silent_since = connection->last_byte;
   std::erase_if(pool.connections,
                 [id](const Connection& other) { return other.id == id; });
   std::vector<std::uint64_t> close = {id};
   if (end == ConnectionEnd::kSilent) {
-    pool.distrust_until = std::max(pool.distrust_until, quiet_since);
-    const std::vector<std::uint64_t> dropped = DropUntrusted(pool, now);
+    pool.stale_until = std::max(pool.stale_until, silent_since);
+    const std::vector<std::uint64_t> dropped = RemoveStale(pool, now);
     close.insert(close.end(), dropped.begin(), dropped.end());
   }
   return close;
 }
 
-std::vector<std::uint64_t> SilentOnes(const ConnectionPool& pool,
-                                      TimePoint now) {
+std::vector<std::uint64_t> SilentConnections(const ConnectionPool& pool,
+                                             TimePoint now) {
   std::vector<std::uint64_t> silent;
   for (const Connection& connection : pool.connections) {
     const bool quiet = now - connection.last_byte > pool.settings.silence;
--- a/src/log/backoff.cc
+++ b/src/log/backoff.cc
@@ -7,7 +7,7 @@
 namespace teaselspread {
 namespace {
 
-// Beyond this many doublings every sensible cap is reached.
+// Any practical cap is reached within this many doublings.
 constexpr int kMaxDoublings = 20;
 
 }  // namespace
--- a/src/log/log_client.cc
+++ b/src/log/log_client.cc
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxConnections = 16;
 constexpr int kOk = 200;
 constexpr int kExpired = 410;
-constexpr int kTooManyAppends = 429;
+constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
 std::optional<std::uint64_t> NumberOf(std::string_view text) {
@@ -74,7 +74,7 @@
         never_sent ? ErrorKind::kLogUnavailable : ErrorKind::kAppendUnknown,
         answer.error().message);
   }
-  if (answer->status == kTooManyAppends || answer->status == kUnavailable)
+  if (answer->status == kTooManyRequests || answer->status == kUnavailable)
     return Fail(ErrorKind::kLogUnavailable, StatusText(*answer));
   if (answer->status != kOk)
     return Fail(ErrorKind::kAppendUnknown, StatusText(*answer));
--- a/src/log/log_frame.cc
+++ b/src/log/log_frame.cc
@@ -10,8 +10,9 @@
 constexpr std::size_t kOffsetBytes = 8;
 constexpr std::size_t kLengthBytes = 4;
 
-// Precondition: `bytes` are in `body`. Takes them off its front.
-std::uint64_t TakeNumber(std::string_view& body, std::size_t bytes) {
+// Reads a number of `bytes` bytes and removes it from the front of `body`.
+// Precondition: `body` has at least `bytes` bytes.
+std::uint64_t ConsumeBigEndian(std::string_view& body, std::size_t bytes) {
   std::uint64_t value = 0;
   for (const char byte : body.substr(0, bytes))
     value = (value << 8U) | static_cast<unsigned char>(byte);
@@ -28,8 +29,8 @@
   while (!body.empty()) {
     if (body.size() < kOffsetBytes + kLengthBytes)
       return Fail(ErrorKind::kFrameMalformed, "a record's head is cut");
-    const std::uint64_t offset = TakeNumber(body, kOffsetBytes);
-    const std::uint64_t length = TakeNumber(body, kLengthBytes);
+    const std::uint64_t offset = ConsumeBigEndian(body, kOffsetBytes);
+    const std::uint64_t length = ConsumeBigEndian(body, kLengthBytes);
     if (length > body.size())
       return Fail(ErrorKind::kFrameMalformed, "a record is cut");
     if (offset < least)
--- a/src/log/log_frame.h
+++ b/src/log/log_frame.h
@@ -1,5 +1,5 @@
-// How the log frames the records of one read: for each an offset (8 bytes), a
-// length (4 bytes), both big-endian, and the bytes.
+// Decoder of the log's read responses. Each record is framed as an offset
+// (8 bytes) and a length (4 bytes), both big-endian, and the bytes.
 #ifndef TEASELSPREAD_SRC_LOG_LOG_FRAME_H_
 #define TEASELSPREAD_SRC_LOG_LOG_FRAME_H_
 
@@ -13,7 +13,7 @@
 namespace teaselspread {
 
 // Errors: kFrameMalformed when the frames don't fill `body` exactly, or when
-// the offsets don't rise from `from` on. Thread safe.
+// the offsets are not strictly increasing from `from` on. Thread safe.
 [[nodiscard]] Result<std::vector<StoredRecord>> DecodeRecords(
     std::string_view body,
     std::uint64_t from);
--- a/src/logging/logging.cc
+++ b/src/logging/logging.cc
@@ -23,7 +23,7 @@
 struct LoggingState {
   LogIdentity identity;
   log4cxx::LoggerPtr logger;
-  // In place of `logger`, which waits for whoever reads what it writes.
+  // Used instead of `logger`, which blocks while its output is not read.
   LogSink sink;
   LogLevel sink_level = LogLevel::kInfo;
 };
@@ -42,7 +42,7 @@
   return state;
 }
 
-log4cxx::LevelPtr LevelOf(LogLevel level) {
+log4cxx::LevelPtr ToLog4cxxLevel(LogLevel level) {
   switch (level) {
     case LogLevel::kDebug:
       return log4cxx::Level::getDebug();
@@ -64,7 +64,8 @@
          });
 }
 
-// A value from outside may hold line breaks; unescaped it could forge lines.
+// External values may have line breaks, which could forge log lines; control
+// characters are therefore replaced.
 void AppendQuoted(std::string& line, std::string_view text) {
   line += '"';
   for (const char c : text) {
@@ -106,7 +107,7 @@
   state.identity = identity;
   state.logger = log4cxx::Logger::getLogger("teaselspread");
   state.logger->addAppender(appender);
-  state.logger->setLevel(LevelOf(level));
+  state.logger->setLevel(ToLog4cxxLevel(level));
 }
 
 void StartLogging(const LogIdentity& identity, LogLevel level, LogSink sink) {
@@ -132,7 +133,7 @@
     state.sink(line);
     return;
   }
-  const log4cxx::LevelPtr wanted = LevelOf(level);
+  const log4cxx::LevelPtr wanted = ToLog4cxxLevel(level);
   if (!state.logger || !state.logger->isEnabledFor(wanted))
     return;
   state.logger->log(wanted,
--- a/tests/process/log_client_test.cc
+++ b/tests/process/log_client_test.cc
@@ -39,7 +39,7 @@
   cr_assert(log.Stop() == 0);
 }
 
-// A reader waits for news instead of asking again and again: the log takes few
+// A long-polling read returns as soon as a record is appended: the log gets few
 // calls, and a change must arrive within seconds.
 Test(log_client, a_waiting_read_ends_with_the_next_append) {
   Program log("log_standin", {});
@@ -55,8 +55,8 @@
   cr_assert(std::chrono::steady_clock::now() - begun < 5s);
 }
 
-// The log drops old records. A reader that asks for one learns where it can go
-// on, since it must catch up from a checkpoint.
+// The log deletes old records. A reader that requests one gets the oldest
+// offset that is left, as it has to catch up from a checkpoint.
 Test(log_client, an_expired_offset_gives_the_first_kept_one) {
   Program log("log_standin", {"--retention_count=2"});
   LogClient client(OptionsFor(log.At()));
@@ -71,15 +71,15 @@
   const char* name;
   const char* control;
   ErrorKind append;
-  // Records taken in spite of the error.
+  // Records stored in spite of the error.
   std::size_t taken;
 };
 
-// The log is down, slow, cut off, over its rate, or its answer is lost after
-// the append took effect. Only an append that surely was not taken may be said
-// to be so: an operator would publish twice, or believe in a change that is
-// none.
-Test(log_client, faults_say_whether_the_append_was_taken) {
+// The log is down, slow, partitioned, over its rate limit, or its response is
+// lost after the append took effect. Only an append that was certainly not
+// stored may be reported as such; otherwise an operator would publish twice, or
+// rely on a change that does not exist.
+Test(log_client, append_errors_state_whether_the_record_was_stored) {
   using K = ErrorKind;
   const LogFault faults[] = {
       {"refuse", "{outage: refuse}", K::kLogUnavailable, 0},
@@ -109,7 +109,7 @@
   }
 }
 
-// An answer that was damaged or made up must not become configuration.
+// A corrupt or forged response must not become configuration.
 Test(log_client, malformed_batches_are_refused) {
   const std::string record("\0\0\0\0\0\0\0\5\0\0\0\2ab", 14);
   cr_assert(DecodeRecords(record, 5)->size() == 1);
@@ -120,9 +120,9 @@
   cr_assert(!DecodeRecords(record, 6).has_value());
 }
 
-// A whole data centre lost the log at one moment. Its nodes must not come back
-// at one moment either.
-Test(log_client, back_off_grows_to_its_cap_and_spreads) {
+// When a whole data centre loses the log at one moment, its nodes must not all
+// reconnect at one moment.
+Test(log_client, backoff_grows_to_its_cap_with_jitter) {
   std::set<Duration> delays;
   for (Rng::result_type seed = 0; seed < 50; ++seed) {
     Rng rng(seed);
--- a/tests/unit/kernel_test.cc
+++ b/tests/unit/kernel_test.cc
@@ -30,18 +30,18 @@
   cr_assert(!kernel.NextWake().has_value());
 }
 
-// The machine's clock is set back by an operator. Timers that were due must
-// not wait for the old time to come round again.
-Test(kernel, a_clock_set_back_does_not_turn_time_back) {
+// When an operator sets the clock of the machine back, timers that were due
+// must not be delayed until the clock reaches the old time again.
+Test(kernel, time_does_not_go_back_when_the_clock_is_set_back) {
   Kernel kernel;
   kernel.Advance(kStart);
   kernel.Advance(kStart - std::chrono::seconds(50));
   cr_assert(kernel.Now() == kStart);
 }
 
-// A service is renamed and one sender keeps the old name. Without a count the
-// message would vanish with no trace.
-Test(kernel, counts_what_it_cannot_deliver) {
+// A sender that still uses the old name of a renamed service would otherwise
+// lose its messages without any indication.
+Test(kernel, counts_undeliverable_messages) {
   Kernel kernel;
   kernel.Register<Note>("listener", [](const Note&) {});
   kernel.Post("nobody", Note{"lost"});
@@ -51,8 +51,8 @@
   cr_assert(kernel.Counters().Get(KernelEvent::kUnknownMessage) == 1);
 }
 
-// A handler posts to another service while it runs: both are delivered in the
-// same turn, so a decision never waits for the next socket event.
+// A message that a handler posts is delivered by the same Advance(), so that a
+// decision is not delayed until the next socket event.
 Test(kernel, messages_posted_by_handlers_run_in_the_same_turn) {
   Kernel kernel;
   int heard = 0;
--- a/tests/unit/logging_test.cc
+++ b/tests/unit/logging_test.cc
@@ -5,9 +5,8 @@
 namespace teaselspread {
 namespace {
 
-// A caller puts a line break into a path. Written as it is, it would start a
-// line of its own in the log, and an operator would read an event that never
-// happened.
+// A client that sends a line break in a path must not be able to forge a log
+// line, as an operator would read an event that never happened.
 Test(logging, a_value_from_outside_cannot_forge_a_line) {
   const LogIdentity identity{"bole-1", "bole"};
   const std::string line = FormatLogLine(
--- a/tests/unit/request_faults_test.cc
+++ b/tests/unit/request_faults_test.cc
@@ -138,7 +138,7 @@
   for (int i = 0; i < count; ++i)
     ids.push_back(Acquire(pool, kStart).id);
   for (const std::uint64_t id : ids)
-    cr_assert(Release(pool, id, ConnectionEnd::kWhole, kStart).empty());
+    cr_assert(Release(pool, id, ConnectionEnd::kComplete, kStart).empty());
   return ids;
 }
 
@@ -149,11 +149,11 @@
   ConnectionPool pool;
   (void)OpenIdle(pool, 20);
   const TimePoint used = kStart + Seconds(1);
-  const Acquired first = Acquire(pool, used);
+  const AcquireResult first = Acquire(pool, used);
   cr_assert(first.kind == AcquireKind::kReuse);
   const TimePoint noticed = used + Ms(5001);
-  cr_assert(SilentOnes(pool, used + Seconds(5)).empty());
-  cr_assert(SilentOnes(pool, noticed).front() == first.id);
+  cr_assert(SilentConnections(pool, used + Seconds(5)).empty());
+  cr_assert(SilentConnections(pool, noticed).front() == first.id);
   const auto closed = Release(pool, first.id, ConnectionEnd::kSilent, noticed);
   cr_assert(closed.size() == 20);
   cr_assert(Acquire(pool, noticed).kind == AcquireKind::kOpen);
@@ -167,12 +167,12 @@
   const std::uint64_t responding = Acquire(pool, kStart + Seconds(1)).id;
   OnByte(pool, responding, kStart + Seconds(2));
   cr_assert(
-      Release(pool, responding, ConnectionEnd::kWhole, kStart + Seconds(2))
+      Release(pool, responding, ConnectionEnd::kComplete, kStart + Seconds(2))
           .empty());
   const auto closed =
       Release(pool, silent, ConnectionEnd::kSilent, kStart + Seconds(7));
   cr_assert(closed.size() == 1);
-  const Acquired next = Acquire(pool, kStart + Seconds(7));
+  const AcquireResult next = Acquire(pool, kStart + Seconds(7));
   cr_assert(next.kind == AcquireKind::kReuse);
   cr_assert(next.id == responding);
 }
@@ -198,7 +198,7 @@
   pool.settings.most = 3;
   const auto ids = OpenIdle(pool, 3);
   const TimePoint later = kStart + Seconds(31);
-  const Acquired acquired = Acquire(pool, later);
+  const AcquireResult acquired = Acquire(pool, later);
   cr_assert(acquired.close.size() == 3);
   (void)Acquire(pool, later);
   (void)Acquire(pool, later);
