--- a/src/connections/connections.cc
+++ b/src/connections/connections.cc
@@ -6,7 +6,7 @@
 namespace teaselspread {
 namespace {
 
-constexpr std::array<std::string_view, 6> kNames = {
+constexpr std::array<std::string_view, 6> kConnectionEndNames = {
     "whole", "timeout", "cancelled", "short-body", "silent", "error"};
 
 // The cause of a silent connection, such as a restarted firewall, affects every
@@ -41,7 +41,7 @@
 }  // namespace
 
 std::string_view NameOf(ConnectionEnd end) {
-  return kNames.at(static_cast<std::size_t>(end));
+  return kConnectionEndNames.at(static_cast<std::size_t>(end));
 }
 
 AcquireResult Acquire(ConnectionPool& pool, TimePoint now) {
--- a/src/log/backoff.cc
+++ b/src/log/backoff.cc
@@ -14,10 +14,11 @@
 
 Duration NextDelay(Backoff& backoff, Rng& rng) {
   backoff.failures = std::min(backoff.failures + 1, kMaxDoublings);
-  const std::int64_t grown = backoff.base.count() << backoff.failures;
-  const std::int64_t most = std::min<std::int64_t>(grown, backoff.cap.count());
+  const std::int64_t exponential = backoff.base.count() << backoff.failures;
+  const std::int64_t max_delay =
+      std::min<std::int64_t>(exponential, backoff.cap.count());
   return Duration(std::uniform_int_distribution<std::int64_t>(
-      backoff.base.count(), most)(rng));
+      backoff.base.count(), max_delay)(rng));
 }
 
 }  // namespace teaselspread
--- a/src/log/log_client.cc
+++ b/src/log/log_client.cc
@@ -13,11 +13,11 @@
 
 constexpr std::size_t kMaxConnections = 16;
 constexpr int kOk = 200;
-constexpr int kExpired = 410;
+constexpr int kGone = 410;
 constexpr int kTooManyRequests = 429;
-constexpr int kUnavailable = 503;
+constexpr int kServiceUnavailable = 503;
 
-std::optional<std::uint64_t> NumberOf(std::string_view text) {
+std::optional<std::uint64_t> ParseNumber(std::string_view text) {
   std::uint64_t value = 0;
   const auto [end, failure] =
       std::from_chars(text.data(), text.data() + text.size(), value);
@@ -26,8 +26,8 @@
   return value;
 }
 
-std::string StatusText(const HttpResponse& answer) {
-  return "the log answered " + std::to_string(answer.status);
+std::string StatusText(const HttpResponse& response) {
+  return "the log answered " + std::to_string(response.status);
 }
 
 tl::unexpected<LogReadError> FailRead(ErrorKind kind,
@@ -65,20 +65,22 @@
                                         const std::string& bytes) {
   HttpRequest request = this->NewRequest("POST", "/streams/" + stream);
   request.body = bytes;
-  const Result<HttpResponse> answer = this->pool.Send(
+  const Result<HttpResponse> response = this->pool.Send(
       this->options.log, request, this->OptionsFor(Duration(0)));
-  if (!answer) {
+  if (!response) {
     const bool never_sent =
-        AnswerOf(answer.error().kind).execution == Execution::kNotRun;
+        AnswerOf(response.error().kind).execution == Execution::kNotRun;
     return Fail(
         never_sent ? ErrorKind::kLogUnavailable : ErrorKind::kAppendUnknown,
-        answer.error().message);
+        response.error().message);
   }
-  if (answer->status == kTooManyRequests || answer->status == kUnavailable)
-    return Fail(ErrorKind::kLogUnavailable, StatusText(*answer));
-  if (answer->status != kOk)
-    return Fail(ErrorKind::kAppendUnknown, StatusText(*answer));
-  if (const auto offset = NumberOf(FindHeader(answer->headers, "X-Offset")))
+  if (response->status == kTooManyRequests ||
+      response->status == kServiceUnavailable)
+    return Fail(ErrorKind::kLogUnavailable, StatusText(*response));
+  if (response->status != kOk)
+    return Fail(ErrorKind::kAppendUnknown, StatusText(*response));
+  if (const auto offset =
+          ParseNumber(FindHeader(response->headers, "X-Offset")))
     return *offset;
   return Fail(ErrorKind::kAppendUnknown, "the log's answer has no offset");
 }
@@ -92,21 +94,23 @@
   const std::string target =
       "/streams/" + stream + "?from=" + std::to_string(from) +
       "&max=" + std::to_string(max) + "&wait_ms=" + std::to_string(wait_ms);
-  const Result<HttpResponse> answer =
+  const Result<HttpResponse> response =
       this->pool.Send(this->options.log, this->NewRequest("GET", target),
                       this->OptionsFor(wait));
-  if (!answer)
-    return FailRead(ErrorKind::kLogUnavailable, answer.error().message);
-  if (answer->status != kOk && answer->status != kExpired)
-    return FailRead(ErrorKind::kLogUnavailable, StatusText(*answer));
-  const auto first = NumberOf(FindHeader(answer->headers, "X-First-Offset"));
-  const auto next = NumberOf(FindHeader(answer->headers, "X-Next-Offset"));
+  if (!response)
+    return FailRead(ErrorKind::kLogUnavailable, response.error().message);
+  if (response->status != kOk && response->status != kGone)
+    return FailRead(ErrorKind::kLogUnavailable, StatusText(*response));
+  const auto first =
+      ParseNumber(FindHeader(response->headers, "X-First-Offset"));
+  const auto next = ParseNumber(FindHeader(response->headers, "X-Next-Offset"));
   if (!first || !next)
     return FailRead(ErrorKind::kFrameMalformed, "an answer without offsets");
-  if (answer->status == kExpired)
+  if (response->status == kGone)
     return FailRead(ErrorKind::kLogExpired, "the offset is no longer kept",
                     *first);
-  Result<std::vector<StoredRecord>> records = DecodeRecords(answer->body, from);
+  Result<std::vector<StoredRecord>> records =
+      DecodeRecords(response->body, from);
   if (!records)
     return FailRead(ErrorKind::kFrameMalformed, records.error().message);
   return ReadBatch{std::move(*records), *first, *next};
--- a/src/logging/logging.cc
+++ b/src/logging/logging.cc
@@ -32,7 +32,7 @@
                      static_cast<std::size_t>(LogLevel::kCount)>
     kLevelNames = {"DEBUG", "INFO", "WARN", "ERROR"};
 
-std::string TimeText() {
+std::string FormatTimestamp() {
   const absl::Time now = absl::Now();
   return absl::FormatTime("%Y-%m-%dT%H:%M:%E3SZ", now, absl::UTCTimeZone());
 }
@@ -125,7 +125,7 @@
   if (state.sink) {
     if (level < state.sink_level)
       return;
-    std::string line = TimeText();
+    std::string line = FormatTimestamp();
     line += " level=";
     line += kLevelNames.at(static_cast<std::size_t>(level));
     line += ' ';
@@ -133,10 +133,10 @@
     state.sink(line);
     return;
   }
-  const log4cxx::LevelPtr wanted = ToLog4cxxLevel(level);
-  if (!state.logger || !state.logger->isEnabledFor(wanted))
+  const log4cxx::LevelPtr log4cxx_level = ToLog4cxxLevel(level);
+  if (!state.logger || !state.logger->isEnabledFor(log4cxx_level))
     return;
-  state.logger->log(wanted,
+  state.logger->log(log4cxx_level,
                     FormatLogLine(state.identity, service, event, fields));
 }
 
--- a/tests/process/log_client_test.cc
+++ b/tests/process/log_client_test.cc
@@ -44,15 +44,15 @@
 Test(log_client, a_waiting_read_ends_with_the_next_append) {
   Program log("log_standin", {});
   LogClient client(OptionsFor(log.At()));
-  std::thread appending([&] {
+  std::thread appender([&] {
     std::this_thread::sleep_for(100ms);
     (void)client.Append("config", "news");
   });
-  const auto begun = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   const ReadResult read = client.Read("config", 1, 10, 10s);
-  appending.join();
+  appender.join();
   cr_assert(read && read->records.size() == 1);
-  cr_assert(std::chrono::steady_clock::now() - begun < 5s);
+  cr_assert(std::chrono::steady_clock::now() - start < 5s);
 }
 
 // The log deletes old records. A reader that requests one gets the oldest
@@ -70,9 +70,9 @@
 struct LogFault {
   const char* name;
   const char* control;
-  ErrorKind append;
+  ErrorKind append_error;
   // Records stored in spite of the error.
-  std::size_t taken;
+  std::size_t stored_records;
 };
 
 // The log is down, slow, partitioned, over its rate limit, or its response is
@@ -95,15 +95,16 @@
     const Address control = log.At("control");
     LogClient client(OptionsFor(log.At()));
     cr_assert(Control(control, fault.control), "%s", fault.name);
-    const auto failed = client.Append("config", "x");
-    cr_assert(!failed && failed.error().kind == fault.append, "%s: %s",
-              fault.name, failed ? "" : NameOf(failed.error().kind).data());
+    const auto appended = client.Append("config", "x");
+    cr_assert(!appended && appended.error().kind == fault.append_error,
+              "%s: %s", fault.name,
+              appended ? "" : NameOf(appended.error().kind).data());
     cr_assert(Control(control,
                       "{outage: none, slow_ms: 0, cut: [], "
                       "appends_per_second: 400}"));
     cr_assert(WaitUntil([&] {
                 const ReadResult read = client.Read("config", 1, 10, 0ms);
-                return read && read->records.size() == fault.taken;
+                return read && read->records.size() == fault.stored_records;
               }),
               "%s", fault.name);
   }
@@ -113,9 +114,9 @@
 Test(log_client, malformed_batches_are_refused) {
   const std::string record("\0\0\0\0\0\0\0\5\0\0\0\2ab", 14);
   cr_assert(DecodeRecords(record, 5)->size() == 1);
-  const std::string rows[] = {record.substr(0, 5), record.substr(0, 13),
-                              record + "x", record + record};
-  for (const std::string& bytes : rows)
+  const std::string malformed[] = {record.substr(0, 5), record.substr(0, 13),
+                                   record + "x", record + record};
+  for (const std::string& bytes : malformed)
     cr_assert(!DecodeRecords(bytes, 5).has_value());
   cr_assert(!DecodeRecords(record, 6).has_value());
 }
--- a/tests/unit/kernel_test.cc
+++ b/tests/unit/kernel_test.cc
@@ -16,17 +16,17 @@
 
 Test(kernel, delivers_in_order_and_fires_timers_when_due) {
   Kernel kernel;
-  std::vector<std::string> heard;
-  kernel.Register<Note>("listener",
-                        [&](const Note& note) { heard.push_back(note.text); });
+  std::vector<std::string> received;
+  kernel.Register<Note>(
+      "listener", [&](const Note& note) { received.push_back(note.text); });
   kernel.PostAt(kStart + std::chrono::seconds(2), "listener", Note{"late"});
   kernel.PostAt(kStart + std::chrono::seconds(1), "listener", Note{"early"});
   kernel.Post("listener", Note{"now"});
   kernel.Advance(kStart);
-  cr_assert(heard == std::vector<std::string>{"now"});
+  cr_assert(received == std::vector<std::string>{"now"});
   cr_assert(kernel.NextWake() == kStart + std::chrono::seconds(1));
   kernel.Advance(kStart + std::chrono::seconds(5));
-  cr_assert(heard == (std::vector<std::string>{"now", "early", "late"}));
+  cr_assert(received == (std::vector<std::string>{"now", "early", "late"}));
   cr_assert(!kernel.NextWake().has_value());
 }
 
@@ -55,13 +55,13 @@
 // decision is not delayed until the next socket event.
 Test(kernel, messages_posted_by_handlers_run_in_the_same_turn) {
   Kernel kernel;
-  int heard = 0;
+  int received = 0;
   kernel.Register<Note>("first",
                         [&](const Note& note) { kernel.Post("second", note); });
-  kernel.Register<Note>("second", [&](const Note&) { ++heard; });
+  kernel.Register<Note>("second", [&](const Note&) { ++received; });
   kernel.Post("first", Note{"x"});
   kernel.Advance(kStart);
-  cr_assert(heard == 1);
+  cr_assert(received == 1);
 }
 
 }  // namespace
