--- a/include/teaselspread/connections.h
+++ b/include/teaselspread/connections.h
@@ -31,7 +31,7 @@
 
 struct ConnectionSettings {
   // Maximum number of connections to one target, in use and idle.
-  int most = 128;
+  int max_connections = 128;
   // Connections idle for longer than this are closed instead of reused.
   Duration max_idle_time = std::chrono::seconds(30);
   // Maximum time without a received byte while in use.
--- a/src/connections/connections.cc
+++ b/src/connections/connections.cc
@@ -63,7 +63,7 @@
     return acquired;
   }
   const auto open = static_cast<int>(pool.connections.size());
-  if (open >= pool.settings.most)
+  if (open >= pool.settings.max_connections)
     return acquired;
   acquired.kind = AcquireKind::kOpen;
   acquired.id = pool.next_id++;
--- a/tests/unit/request_faults_test.cc
+++ b/tests/unit/request_faults_test.cc
@@ -195,7 +195,7 @@
 // Requests pile up on a slow target.
 Test(connections, no_more_than_the_limit_and_none_that_idled_too_long) {
   ConnectionPool pool;
-  pool.settings.most = 3;
+  pool.settings.max_connections = 3;
   const auto ids = OpenIdle(pool, 3);
   const TimePoint later = kStart + Seconds(31);
   const AcquireResult acquired = Acquire(pool, later);
