--- a/tests/process/node_test.cc
+++ b/tests/process/node_test.cc
@@ -120,9 +120,11 @@
             refused.output.c_str());
   cr_assert(CallOnce(fleet.At(0).http, "GET", "/cases/1").status == 200);
   cr_assert(Control(fleet.LogControl(), "{outage: none}"));
+  // Read before the publish: a node may hold the new version before the command
+  // returns.
+  const ConfigVersion version = Fleet::Held(fleet.At(0)) + 1;
   const CommandResult published = fleet.Publish(config);
   cr_assert(published.exit_code == 0, "%s", published.output.c_str());
-  const ConfigVersion version = Fleet::Held(fleet.At(0)) + 1;
   cr_assert(WaitUntil([&] { return fleet.AllHold(version); }, kPatience));
 }
 
